--- a/include/cardamombay/serving/balancer.hpp
+++ b/include/cardamombay/serving/balancer.hpp
@@ -29,9 +29,9 @@
     std::span<const VmId> tried_; ///< Not again there.
     RequestRegions regions_;
     std::size_t promptTokens_ = 0;
-    Duration goal_{};       ///< Time to the first event that counts as on time.
-    bool isHeld_ = false;   ///< It has waited here, and is late already.
-    bool hasBegun_ = false; ///< Its caller has a part of the answer already.
+    Duration latencyGoal_{}; ///< Time to the first event that counts as on time.
+    bool isHeld_ = false;    ///< It has waited here, and is late already.
+    bool hasBegun_ = false;  ///< Its caller has a part of the answer already.
     /// Endpoints have ended under it. All entry VMs send a suspect to the same endpoint, so that
     /// one that does end them ends one at a time, and suspects of one end go to different ones.
     std::optional<RequestFingerprint> suspect_;
--- a/include/cardamombay/serving/configuration.hpp
+++ b/include/cardamombay/serving/configuration.hpp
@@ -37,11 +37,11 @@
     std::string host_;
     std::string prefix_; ///< Begins and ends with a slash.
     RequestKind kind_ = RequestKind::NonIdempotent;
-    Duration timeout_{};          ///< Longest wait that the operator allows.
-    Duration goal_{};             ///< Answers (streams: first events) within it count fully.
-    Duration pauseGoal_{};        ///< Longest pause between events of an answer on time.
-    std::uint32_t priority_ = 0;  ///< 0 is the most urgent.
-    std::uint32_t mostTries_ = 1; ///< Endpoints that one request may be handed to.
+    Duration timeout_{};            ///< Longest wait that the operator allows.
+    Duration latencyGoal_{};        ///< Answers (streams: first events) within it count fully.
+    Duration eventGapGoal_{};       ///< Longest pause between events of an answer on time.
+    std::uint32_t priority_ = 0;    ///< 0 is the most urgent.
+    std::uint32_t maxAttempts_ = 1; ///< Endpoints that one request may be handed to.
     bool isResumable_ = false;
     bool needsKey_ = true;
     std::vector<Backend> backends_;
@@ -56,7 +56,7 @@
     ModelName name_;
     std::uint32_t members_ = 1; ///< VMs of a group.
     double share_ = 0;          ///< Its share of the work at the start, 0 to 1.
-    double pace_ = 1;           ///< Factor on all times of a group.
+    double timeFactor_ = 1;     ///< Factor on all times of a group.
     Duration load_{};           ///< From the weight store.
     Duration warmLoad_{};       ///< From the VM's own host.
 
@@ -66,20 +66,20 @@
 /// \brief How engines of a service work; figures are for a group at pace 1.
 struct EngineProfile
 {
-    std::uint32_t slots_ = 1;          ///< Requests in a batch.
-    std::uint64_t memoryTokens_ = 0;   ///< Tokens of context that fit.
-    Duration step_{};                  ///< One token for each request of the batch.
-    Duration perRequest_{};            ///< Added to a step for each request that writes.
-    Duration perThousandTokens_{};     ///< Added to a step for each 1,000 tokens of context.
-    double readTokensPerSecond_ = 1;   ///< Prompt tokens read.
-    std::uint32_t promptChunk_ = 2048; ///< Prompt tokens read between two steps at most.
-    std::uint32_t stride_ = 1;         ///< Tokens that one event holds.
-    std::uint32_t usualPrompt_ = 0;    ///< Mean prompt, tokens; 0 if it is not declared.
-    std::uint32_t usualAnswer_ = 0;    ///< Mean answer, tokens; 0 if it is not declared.
-    double farFactor_ = 1;             ///< A group over several fabric domains is slower by this.
-    Duration formTime_{};              ///< From the order to open until the group serves.
+    std::uint32_t slots_ = 1;                 ///< Requests in a batch.
+    std::uint64_t kvCacheTokens_ = 0;         ///< Tokens of context that fit.
+    Duration step_{};                         ///< One token for each request of the batch.
+    Duration stepPerRequest_{};               ///< Added to a step for each request that writes.
+    Duration stepPerThousandTokens_{};        ///< Added to a step for each 1,000 tokens of context.
+    double prefillTokensPerSecond_ = 1;       ///< Prompt tokens read.
+    std::uint32_t prefillChunkTokens_ = 2048; ///< Prompt tokens read between two steps at most.
+    std::uint32_t tokensPerEvent_ = 1;        ///< Tokens that one event holds.
+    std::uint32_t meanPromptTokens_ = 0;      ///< Mean prompt, tokens; 0 if it is not declared.
+    std::uint32_t meanAnswerTokens_ = 0;      ///< Mean answer, tokens; 0 if it is not declared.
+    double crossDomainFactor_ = 1;     ///< A group over several fabric domains is slower by this.
+    Duration groupFormationTime_{};    ///< From the order to open until the group serves.
     double loadsPerSecond_ = 1;        ///< Most loads from the weight store that may begin.
-    std::uint32_t loadsAtOnce_ = 1;    ///< Loads beyond this share the weight store's speed.
+    std::uint32_t fullSpeedLoads_ = 1; ///< Loads beyond this share the weight store's speed.
     std::vector<Model> models_;
 
     /// \brief The model of that name; null if the service has none.
@@ -91,9 +91,9 @@
 struct Service
 {
     ServiceName name_;
-    std::uint32_t mostConnections_ = 0; ///< Of each endpoint, over all callers.
-    Duration coldStart_{};              ///< An endpoint is cold for that long after its start.
-    double coldRequestsPerSecond_ = 0;  ///< That a cold endpoint takes; 0: as many as any.
+    std::uint32_t maxConnections_ = 0; ///< Of each endpoint, over all callers.
+    Duration coldStart_{};             ///< An endpoint is cold for that long after its start.
+    double coldRequestsPerSecond_ = 0; ///< That a cold endpoint takes; 0: as many as any.
     std::optional<EngineProfile> engine_;
 
     friend bool operator==(const Service &, const Service &) = default;
--- a/include/cardamombay/serving/configuration_exchange.hpp
+++ b/include/cardamombay/serving/configuration_exchange.hpp
@@ -13,14 +13,14 @@
 namespace cardamombay::serving {
 
 /// \brief Asks for the configuration that is newer than \p have_.
-struct ConfigurationWanted
+struct ConfigurationRequest
 {
     Address address_; ///< Where the answer goes.
     ConfigVersion have_;
     ConfigVersion arriving_;             ///< Parts of this version have come.
     std::vector<std::uint32_t> missing_; ///< Of its parts; empty if all are wanted.
 
-    friend bool operator==(const ConfigurationWanted &, const ConfigurationWanted &) = default;
+    friend bool operator==(const ConfigurationRequest &, const ConfigurationRequest &) = default;
 };
 
 /// \brief A piece of a configuration's text.
@@ -36,10 +36,10 @@
 
 /// \name JSON-RPC notifications
 /// \{
-[[nodiscard]] std::string encode(const ConfigurationWanted &wanted);
+[[nodiscard]] std::string encode(const ConfigurationRequest &wanted);
 [[nodiscard]] std::string encode(const ConfigurationPart &part);
 /// \returns nothing if \p text is no such message.
-[[nodiscard]] std::optional<ConfigurationWanted> decodeConfigurationWanted(std::string_view text);
+[[nodiscard]] std::optional<ConfigurationRequest> decodeConfigurationRequest(std::string_view text);
 [[nodiscard]] std::optional<ConfigurationPart> decodeConfigurationPart(std::string_view text);
 /// \}
 
@@ -65,7 +65,7 @@
 
     /// \brief Answers a peer that has an older configuration with the parts that it lacks.
     /// \param budget parts that it does not bear are left out; they are asked for again.
-    void answer(const ConfigurationWanted &wanted, SendBudget &budget, TimePoint now);
+    void answer(const ConfigurationRequest &wanted, SendBudget &budget, TimePoint now);
 
     /// \returns the whole text once all its parts are here, with its version.
     [[nodiscard]] std::optional<std::pair<ConfigVersion, std::string>>
@@ -74,7 +74,7 @@
 private:
     void await(ConfigVersion version, TimePoint now);
     void ask(const Address &peer) const;
-    [[nodiscard]] bool isWanted(const ConfigurationWanted &wanted, std::uint32_t part) const;
+    [[nodiscard]] bool isWanted(const ConfigurationRequest &wanted, std::uint32_t part) const;
 
     DatagramChannel &datagrams_;
     Address self_;
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -150,7 +150,7 @@
     void attemptBroke(const Target &target, RequestAtCrash request);
     /// \brief True if a failure of the endpoint's own speaks against it.
     [[nodiscard]] bool blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint);
-    void countRequest(const Service &service, const CallerHead &head);
+    void countRequest(const Service &service, const RequestHead &head);
     [[nodiscard]] Duration unconfirmedFor() const;
     [[nodiscard]] const GatewayBounds &bounds() const { return bounds_; }
     void release(Session &session);
--- a/include/cardamombay/serving/store_watch.hpp
+++ b/include/cardamombay/serving/store_watch.hpp
@@ -50,7 +50,7 @@
         /// Longest pause after a call that brought changes, so that one call brings several.
         Duration pause_{};
         /// Longest pause after failures: what depends on the watch may be two seconds late at most.
-        Duration failurePause_ = std::chrono::milliseconds(400);
+        Duration maxRetryDelay_ = std::chrono::milliseconds(400);
     };
 
     /// \param listener outlives the watch, like the others.
@@ -71,16 +71,16 @@
     void catchUp();
     /// \brief Lists the table anew at once, since what is known here is of an earlier timeline of
     /// the store; answers to calls under way are not taken any more.
-    void listAnew();
+    void relist();
     /// \brief Another reader passes on the changes after \p after up to \p to.
     /// \returns the version that the copy had, if the changes follow on: those after it are to be
     /// taken. Otherwise nothing; some are missing in between, or all are known.
-    [[nodiscard]] std::optional<RowVersion> takeRelayed(RowVersion after, RowVersion to,
-                                                        RowVersion lastChange);
+    [[nodiscard]] std::optional<RowVersion> applyRelayed(RowVersion after, RowVersion to,
+                                                         RowVersion lastChange);
     /// \}
 
     /// \brief Changes the longest pause after failures.
-    void setFailurePause(Duration pause) { settings_.failurePause_ = pause; }
+    void setMaxRetryDelay(Duration pause) { settings_.maxRetryDelay_ = pause; }
 
     /// \brief Changes the longest wait of a call, and with it the longest time between two
     /// confirmations.
--- a/src/serving/balancer.cpp
+++ b/src/serving/balancer.cpp
@@ -104,7 +104,7 @@
             || !group.isComplete(model->members_) || !book_.takesRequests(*group.head_))
             continue;
         result.push_back({group.head_->id_, group.head_->address_, group.head_->bornAt_,
-                          group.model_, group.isFar() ? service.engine_->farFactor_ : 1,
+                          group.model_, group.isFar() ? service.engine_->crossDomainFactor_ : 1,
                           regionOf(*group.head_)});
     }
     return result;
@@ -177,7 +177,7 @@
 /// Tokens: the operators' figure, or else the mean of the prompts that came here.
 std::size_t Balancer::usualPrompt(const Demand &demand) const
 {
-    const auto declared = demand.service_->engine_->usualPrompt_;
+    const auto declared = demand.service_->engine_->meanPromptTokens_;
     if (declared > 0)
         return declared;
     const auto seen = seenPrompts_.find(demand.service_->name_);
@@ -197,8 +197,8 @@
                            TimePoint now) const
 {
     const auto *model = profile.model(candidate.model_);
-    const double rate
-        = profile.readTokensPerSecond_ * readingShare / (model->pace_ * candidate.slowness_);
+    const double rate = profile.prefillTokensPerSecond_ * readingShare
+                        / (model->timeFactor_ * candidate.slowness_);
     return fromSeconds(board_.unread(candidate.endpoint_, rate, now) / rate);
 }
 
@@ -226,7 +226,7 @@
         return false;
     if (demand.hasBegun_)
         return true;
-    const auto goal = toSeconds(demand.goal_);
+    const auto goal = toSeconds(demand.latencyGoal_);
     if (demand.isHeld_)
         return toSeconds(backlog(candidate, profile, now)) <= goal * heldBacklogShare;
     return toSeconds(timeToFirst(candidate, demand, now)) <= goal * goalShare;
--- a/src/serving/configuration_exchange.cpp
+++ b/src/serving/configuration_exchange.cpp
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string encode(const ConfigurationWanted &wanted)
+std::string encode(const ConfigurationRequest &wanted)
 {
     json::array missing;
     for (const auto part : wanted.missing_)
@@ -55,17 +55,17 @@
                                                  {"text", part.text_}});
 }
 
-std::optional<ConfigurationWanted> decodeConfigurationWanted(std::string_view text)
+std::optional<ConfigurationRequest> decodeConfigurationRequest(std::string_view text)
 {
     const auto params = paramsOf(text, wantedMethod);
     const auto address
         = params ? config::addressOf(textIn(*params, "address")) : std::optional<Address>();
     if (!address)
         return std::nullopt;
-    ConfigurationWanted wanted{*address,
-                               ConfigVersion(numberIn(*params, "have")),
-                               ConfigVersion(numberIn(*params, "arriving")),
-                               {}};
+    ConfigurationRequest wanted{*address,
+                                ConfigVersion(numberIn(*params, "have")),
+                                ConfigVersion(numberIn(*params, "arriving")),
+                                {}};
     const auto *missing = params->if_contains("missing");
     if (missing == nullptr || !missing->is_array())
         return wanted;
@@ -151,7 +151,7 @@
 
 void ConfigurationExchange::ask(const Address &peer) const
 {
-    ConfigurationWanted wanted{self_, version_, arriving_, {}};
+    ConfigurationRequest wanted{self_, version_, arriving_, {}};
     for (std::uint32_t part = 0; part < parts_.size(); ++part) {
         if (!parts_[part])
             wanted.missing_.push_back(part);
@@ -161,14 +161,14 @@
     datagrams_.send(peer, encode(wanted));
 }
 
-bool ConfigurationExchange::isWanted(const ConfigurationWanted &wanted, std::uint32_t part) const
+bool ConfigurationExchange::isWanted(const ConfigurationRequest &wanted, std::uint32_t part) const
 {
     return wanted.arriving_ != version_ || wanted.missing_.empty()
            || std::find(wanted.missing_.begin(), wanted.missing_.end(), part)
                   != wanted.missing_.end();
 }
 
-void ConfigurationExchange::answer(const ConfigurationWanted &wanted, SendBudget &budget,
+void ConfigurationExchange::answer(const ConfigurationRequest &wanted, SendBudget &budget,
                                    TimePoint now)
 {
     if (version_ <= wanted.have_ || text_.empty())
--- a/src/serving/engine_model.cpp
+++ b/src/serving/engine_model.cpp
@@ -15,25 +15,25 @@
 {
     const double thousands = static_cast<double>(context) / 1000;
     const Duration perWriter
-        = profile_.perRequest_ + scaled(profile_.perThousandTokens_, thousands);
+        = profile_.stepPerRequest_ + scaled(profile_.stepPerThousandTokens_, thousands);
     const Duration step = profile_.step_ + scaled(perWriter, static_cast<double>(writers));
-    return scaled(step, profile_.stride_ * model_.pace_);
+    return scaled(step, profile_.tokensPerEvent_ * model_.timeFactor_);
 }
 
 std::size_t EngineModel::usualContext() const
 {
-    return profile_.usualPrompt_ + profile_.usualAnswer_ / 2;
+    return profile_.meanPromptTokens_ + profile_.meanAnswerTokens_ / 2;
 }
 
 Duration EngineModel::readTime(std::size_t promptTokens) const
 {
-    return fromSeconds(static_cast<double>(promptTokens) / profile_.readTokensPerSecond_
-                       * model_.pace_);
+    return fromSeconds(static_cast<double>(promptTokens) / profile_.prefillTokensPerSecond_
+                       * model_.timeFactor_);
 }
 
 Duration EngineModel::groupTime(std::size_t promptTokens, std::size_t answerTokens) const
 {
-    const double events = static_cast<double>(answerTokens) / profile_.stride_;
+    const double events = static_cast<double>(answerTokens) / profile_.tokensPerEvent_;
     const auto writing = scaled(pauseBetweenEvents(profile_.slots_, usualContext()), events);
     return readTime(promptTokens) + writing / profile_.slots_;
 }
@@ -42,7 +42,7 @@
 {
     // Each step of a pass may read a chunk of the prompts that wait.
     return pauseBetweenEvents(profile_.slots_, usualContext())
-           + readTime(profile_.promptChunk_) * profile_.stride_;
+           + readTime(profile_.prefillChunkTokens_) * profile_.tokensPerEvent_;
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -34,9 +34,9 @@
 constexpr Duration longestSweepGap = std::chrono::milliseconds(120);
 
 /// Tokens that the answer will have: the caller's guess, else half of what it allows.
-std::size_t likelyAnswer(const CallerHead &head)
+std::size_t likelyAnswer(const RequestHead &head)
 {
-    return head.likelyAnswerTokens_ > 0 ? head.likelyAnswerTokens_ : head.mostAnswerTokens_ / 2;
+    return head.expectedAnswerTokens_ > 0 ? head.expectedAnswerTokens_ : head.maxAnswerTokens_ / 2;
 }
 
 } // namespace
@@ -225,7 +225,7 @@
     return bound;
 }
 
-void Gateway::countRequest(const Service &service, const CallerHead &head)
+void Gateway::countRequest(const Service &service, const RequestHead &head)
 {
     repeats_[service.name_].countRequest(repeatBound(), parts_.clock_.now());
     if (!service.engine_)
--- a/src/serving/node.cpp
+++ b/src/serving/node.cpp
@@ -217,7 +217,7 @@
                {"routes", std::to_string(valueOf(configuration).routes_.size())},
                {"teams", std::to_string(valueOf(configuration).teams_.size())}});
     for (const auto &service : valueOf(configuration).services_) {
-        if (service.engine_ && service.engine_->usualPrompt_ == 0)
+        if (service.engine_ && service.engine_->meanPromptTokens_ == 0)
             log::info(event::usualSizesUnknown, {{"service", service.name_.text()},
                                                  {"instead", "mean of the prompts seen here"}});
     }
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -240,7 +240,7 @@
         return;
     else if (auto summary = decodeLoadSummary(text))
         summaryArrived(*std::move(summary));
-    else if (const auto wanted = decodeConfigurationWanted(text))
+    else if (const auto wanted = decodeConfigurationRequest(text))
         exchange_.answer(*wanted, budget_, parts_.clock_.now());
     else if (const auto part = decodeConfigurationPart(text))
         partArrived(*part);
--- a/src/serving/node_relays.cpp
+++ b/src/serving/node_relays.cpp
@@ -52,7 +52,7 @@
 void Node::relayArrived(const EndpointRelay &relay)
 {
     const auto last = relay.changes_.empty() ? RowVersion() : relay.changes_.back().version_;
-    const auto had = endpointWatch_.takeRelayed(relay.after_, relay.to_, last);
+    const auto had = endpointWatch_.applyRelayed(relay.after_, relay.to_, last);
     if (!had)
         return;
     // What is still missing is on its way too.
@@ -128,7 +128,7 @@
     const bool isFirst = isLeaseStarted_ && (rank_.has_value() || parts_.lease_.isHeld());
     const bool wasWatching = std::exchange(isWatching_, isFirst || !hearsRelay);
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
-        watch->setFailurePause(isFirst ? watcherFailurePause : spareFailurePause);
+        watch->setMaxRetryDelay(isFirst ? watcherFailurePause : spareFailurePause);
         // One that begins to watch must not wait for the next change to know how things stand.
         if (isWatching_ && !wasWatching)
             watch->catchUp();
--- a/src/serving/node_restores.cpp
+++ b/src/serving/node_restores.cpp
@@ -70,7 +70,7 @@
     keptQuarantines_.clear();
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
         if (watch->isListed() && watch->version().timeline() < *timeline_)
-            watch->listAnew();
+            watch->relist();
     }
     log::warning(
         event::storeRestored,
@@ -85,10 +85,10 @@
     parts_.clock_.schedule(settleTime, [this, alive = std::weak_ptr(isAlive_)] {
         if (alive.expired() || isSettling(parts_.clock_.now()))
             return;
-        endpointWatch_.listAnew();
+        endpointWatch_.relist();
         // One may have been taken back meanwhile, without a change that the store tells.
         if (!evacuations_.zones().empty())
-            configurationWatch_.listAnew();
+            configurationWatch_.relist();
     });
     parts_.clock_.schedule(settleTime + announceTurn * dutyPlace_,
                            [this, alive = std::weak_ptr(isAlive_)] {
--- a/src/serving/planner_forming.cpp
+++ b/src/serving/planner_forming.cpp
@@ -128,7 +128,7 @@
 
 double Run::weightOf(const GroupView &group) const
 {
-    return group.isFar() ? 1 / input_.profile_->farFactor_ : 1;
+    return group.isFar() ? 1 / input_.profile_->crossDomainFactor_ : 1;
 }
 
 /// True if the far group's engines in some domain and the spares there make a group of their own.
@@ -206,8 +206,8 @@
         if (gathering_.contains(domain))
             continue;
         const auto chosen = completing(model, domain, able[domain], open);
-        const auto weight
-            = static_cast<double>(chosen.size()) / std::max(1.0, input_.profile_->farFactor_);
+        const auto weight = static_cast<double>(chosen.size())
+                            / std::max(1.0, input_.profile_->crossDomainFactor_);
         const bool isBearable = makingWay == 0
                                     ? chosen.size() == 1 || weight <= capacity * firstShare
                                     : makingWay + weight <= capacity * makingWayShare;
--- a/src/serving/planner_lending.cpp
+++ b/src/serving/planner_lending.cpp
@@ -193,7 +193,7 @@
 
 bool Run::mayLoadReserve() const
 {
-    return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_ / reserveLoadsDivisor;
+    return input_.isFirstLoad_ || loads_ < input_.profile_->fullSpeedLoads_ / reserveLoadsDivisor;
 }
 
 /// Engines of the smaller groups keep the weights of the largest model on their hosts, beside the
--- a/src/serving/planner_run.cpp
+++ b/src/serving/planner_run.cpp
@@ -22,7 +22,7 @@
 /// 54 engines of a deployment had their weights when traffic came, in place of 42 with the limit.
 bool Run::mayLoad() const
 {
-    return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_;
+    return input_.isFirstLoad_ || loads_ < input_.profile_->fullSpeedLoads_;
 }
 
 bool Run::isLoading(const Endpoint &engine) const
--- a/src/serving/servable.cpp
+++ b/src/serving/servable.cpp
@@ -12,7 +12,7 @@
     const auto *model = profile.model(demand.model_);
     if (model == nullptr)
         return "the service has no such model";
-    if (profile.memoryTokens_ > 0 && demand.promptTokens_ > profile.memoryTokens_)
+    if (profile.kvCacheTokens_ > 0 && demand.promptTokens_ > profile.kvCacheTokens_)
         return "the prompt is larger than the memory of a group";
     // An idle group reads the prompt alone, and sends its first event after one pass.
     const EngineModel engine(profile, *model);
--- a/src/serving/session.cpp
+++ b/src/serving/session.cpp
@@ -41,7 +41,7 @@
     : gateway_(gateway)
     , request_(std::move(request))
     , exchange_(std::move(exchange))
-    , head_(gateway.parts().dialect_.callerHead(request_.fields_))
+    , head_(gateway.parts().dialect_.parseRequestHead(request_.fields_))
     , arrivedAt_(gateway.parts().clock_.now())
     , until_(TimePoint::max())
     , routes_(gateway.routes())
@@ -110,7 +110,7 @@
     demand.tried_ = tried_;
     demand.regions_ = regions_;
     demand.promptTokens_ = head_.promptTokens_;
-    demand.goal_ = route_->goal_;
+    demand.latencyGoal_ = route_->latencyGoal_;
     demand.isHeld_ = wasHeld_;
     demand.hasBegun_ = events_ > 0;
     if (gateway_.poisonPills().isSuspect(fingerprint_))
@@ -158,18 +158,18 @@
 }
 
 /// Some places of a full group are free by then, and the caller may still be on time.
-Duration Session::comeBack() const
+Duration Session::suggestedRetryDelay() const
 {
     if (comeBackIn_)
         return *comeBackIn_;
     return route_ == nullptr ? comeBackElsewhere
-                             : fromSeconds(toSeconds(route_->goal_) * comeBackShare);
+                             : fromSeconds(toSeconds(route_->latencyGoal_) * comeBackShare);
 }
 
 /// A caller of a stream leaves after that long without an event.
 Duration Session::callerPatience() const
 {
-    return std::max({leastCallerPatience, 4 * route_->goal_, 8 * route_->pauseGoal_});
+    return std::max({leastCallerPatience, 4 * route_->latencyGoal_, 8 * route_->eventGapGoal_});
 }
 
 /// Groups are mostly back within a second or two. Who is held in vain gets word before it leaves.
@@ -195,7 +195,7 @@
 
 std::size_t Session::tokensToRead() const
 {
-    return head_.promptTokens_ + events_ * service_->engine_->stride_;
+    return head_.promptTokens_ + events_ * service_->engine_->tokensPerEvent_;
 }
 
 void Session::send(const Target &target)
@@ -292,7 +292,7 @@
     if (failure != Failure::Unknown)
         return true;
     // An endpoint that has sent nothing may have begun all the same.
-    return mayRunAgain() && mayHaveRun_ < route_->mostTries_;
+    return mayRunAgain() && mayHaveRun_ < route_->maxAttempts_;
 }
 
 /// The endpoint may have ended with the connection; which requests it had then is worth knowing.
@@ -325,7 +325,7 @@
 {
     const auto silent = now - progressAt_;
     if (!service_->engine_)
-        return phase_ == Phase::Waiting && silent > plainPatienceGoals * route_->goal_;
+        return phase_ == Phase::Waiting && silent > plainPatienceGoals * route_->latencyGoal_;
     if (target_.patience_ == Duration::zero() || silent <= target_.patience_)
         return false;
     // A request that the endpoint has put off lets the others pass; a group that stands still
--- a/src/serving/session.hpp
+++ b/src/serving/session.hpp
@@ -94,7 +94,8 @@
     [[nodiscard]] bool hasWaitedEnough(TimePoint now) const;
     [[nodiscard]] std::optional<std::string_view> hopeless(TimePoint now) const;
     [[nodiscard]] bool refuseQuarantined();
-    void refuse(std::uint32_t status, std::string_view reason, std::optional<Duration> comeBack);
+    void refuse(std::uint32_t status, std::string_view reason,
+                std::optional<Duration> suggestedRetryDelay);
     /// \}
 
     /// \name Attempts
@@ -109,7 +110,7 @@
     [[nodiscard]] bool awaitsReservation(TimePoint now) const;
     [[nodiscard]] Duration holdLeft(TimePoint now) const;
     void send(const Target &target);
-    [[nodiscard]] Duration comeBack() const;
+    [[nodiscard]] Duration suggestedRetryDelay() const;
     [[nodiscard]] Duration callerPatience() const;
     [[nodiscard]] bool mayHold(TimePoint now) const;
     [[nodiscard]] std::size_t tokensToRead() const;
@@ -127,7 +128,7 @@
     /// \{
     void noteAnswer(std::uint32_t status, TimePoint now);
     void noteRefusal(bool isWrongPlace, TimePoint now);
-    void takeNotices(const AnswerHead &answer, TimePoint now);
+    void takeNotices(const EndpointResponseHead &answer, TimePoint now);
     void takeStreamHead(const net::HttpResponse &head);
     void forgetAnswer();
     void noteEvents(TimePoint now);
@@ -147,7 +148,7 @@
     Gateway &gateway_;
     net::ServerRequest request_;
     std::shared_ptr<net::ServerExchange> exchange_;
-    CallerHead head_;
+    RequestHead head_;
     TimePoint arrivedAt_;
     TimePoint until_; ///< By then the caller has its final answer.
     std::shared_ptr<const RouteTable> routes_;
--- a/src/serving/session_answer.cpp
+++ b/src/serving/session_answer.cpp
@@ -27,11 +27,11 @@
 void Session::onHead(net::HttpResponse head)
 {
     const auto now = gateway_.parts().clock_.now();
-    const auto answer = gateway_.parts().dialect_.answerHead(head);
+    const auto answer = gateway_.parts().dialect_.parseResponseHead(head);
     takeNotices(answer, now);
     if (answer.isRefused_) {
         --mayHaveRun_;
-        noteRefusal(answer.isWrongPlace_, now);
+        noteRefusal(answer.isMisdirected_, now);
         attemptFailed(Failure::Refused, refusalText(head.status_, answer.failedMember_));
         return;
     }
--- a/src/serving/session_end.cpp
+++ b/src/serving/session_end.cpp
@@ -37,10 +37,10 @@
 } // namespace
 
 void Session::refuse(std::uint32_t status, std::string_view reason,
-                     std::optional<Duration> comeBack)
+                     std::optional<Duration> suggestedRetryDelay)
 {
     auto exchange = std::exchange(exchange_, nullptr);
-    exchange->respond(gateway_.parts().dialect_.failure(status, reason, comeBack));
+    exchange->respond(gateway_.parts().dialect_.failure(status, reason, suggestedRetryDelay));
     finish("refused", reason);
 }
 
@@ -72,7 +72,7 @@
         return;
     }
     if (mayHaveRun_ == 0) {
-        refuse(statusUnavailable, reason, comeBack());
+        refuse(statusUnavailable, reason, suggestedRetryDelay());
         return;
     }
     const bool isTimeout = gateway_.parts().clock_.now() >= until_;
@@ -118,8 +118,8 @@
         {"first-ms", std::to_string(toMilliseconds(firstAfter_))},
         {"longest-pause-ms", std::to_string(toMilliseconds(longestPause_))},
         {"prompt", std::to_string(head_.promptTokens_)},
-        {"most-answer", std::to_string(head_.mostAnswerTokens_)},
-        {"likely-answer", std::to_string(head_.likelyAnswerTokens_)},
+        {"most-answer", std::to_string(head_.maxAnswerTokens_)},
+        {"likely-answer", std::to_string(head_.expectedAnswerTokens_)},
         {"elapsed-ms", std::to_string(toMilliseconds(elapsed))}};
     if (target_.passedOver_ > 0)
         details.push_back({"passed-over", std::to_string(target_.passedOver_)});
--- a/src/serving/session_limits.cpp
+++ b/src/serving/session_limits.cpp
@@ -41,9 +41,9 @@
 
 /// Another endpoint that has the address says nothing of this one, and a refusal need not name a
 /// limit that holds on.
-void Session::takeNotices(const AnswerHead &answer, TimePoint now)
+void Session::takeNotices(const EndpointResponseHead &answer, TimePoint now)
 {
-    if (!answer.isWrongPlace_)
+    if (!answer.isMisdirected_)
         gateway_.notices().take({target_.life(), attemptAt_, answer.isRefused_}, answer.notices_,
                                 now);
 }
--- a/src/serving/store_watch.cpp
+++ b/src/serving/store_watch.cpp
@@ -56,7 +56,7 @@
     ask(Duration::zero());
 }
 
-void StoreWatch::listAnew()
+void StoreWatch::relist()
 {
     ++round_;
     isCalling_ = false;
@@ -66,8 +66,8 @@
 }
 
 /// Between two timelines something may be missing that neither reader knows of.
-std::optional<RowVersion> StoreWatch::takeRelayed(RowVersion after, RowVersion to,
-                                                  RowVersion lastChange)
+std::optional<RowVersion> StoreWatch::applyRelayed(RowVersion after, RowVersion to,
+                                                   RowVersion lastChange)
 {
     const bool isOfOtherTimeline
         = after.timeline() != version_.timeline() || to.timeline() != version_.timeline();
@@ -223,7 +223,7 @@
     if (failures_ > 1)
         reachable(false);
     const auto doubled = firstPause * (1U << std::min(failures_ - 1, mostDoublings));
-    later(std::min<Duration>(doubled, settings_.failurePause_),
+    later(std::min<Duration>(doubled, settings_.maxRetryDelay_),
           isListed_ ? &StoreWatch::wait : &StoreWatch::list);
 }
 
--- a/tests/adapter/formats.cpp
+++ b/tests/adapter/formats.cpp
@@ -56,7 +56,7 @@
     const auto &route = configuration.routes_[0];
     cr_assert_eq(route.kind_, RequestKind::Stream);
     cr_assert(route.isResumable_ && route.needsKey_);
-    cr_assert_eq(route.pauseGoal_, milliseconds(250));
+    cr_assert_eq(route.eventGapGoal_, milliseconds(250));
     cr_assert_eq(route.backends_[1], (Backend{ServiceName("app"), 10}));
     cr_assert_eq(configuration.routes_[1].kind_, RequestKind::Idempotent);
     cr_assert_eq(configuration.routes_[1].backends_[0].service_, ServiceName("app"));
@@ -75,16 +75,16 @@
 Test(store_format, usual_sizes_are_read_and_unknown_where_they_are_missing)
 {
     const auto without = PlatformFormat().configuration(configurationText);
-    cr_assert_eq(valueOf(without).services_[0].engine_->usualPrompt_, 0);
+    cr_assert_eq(valueOf(without).services_[0].engine_->meanPromptTokens_, 0);
     std::string text(configurationText);
     const std::string before = "\"far_x\":2.5";
     text.replace(text.find(before), before.size(),
                  before + ",\"chunk\":512,\"usual\":{\"prompt\":1076,\"answer\":116}");
     const auto decoded = PlatformFormat().configuration(text);
     const auto &engine = *valueOf(decoded).services_[0].engine_;
-    cr_assert_eq(engine.usualPrompt_, 1076);
-    cr_assert_eq(engine.usualAnswer_, 116);
-    cr_assert_eq(engine.promptChunk_, 512);
+    cr_assert_eq(engine.meanPromptTokens_, 1076);
+    cr_assert_eq(engine.meanAnswerTokens_, 116);
+    cr_assert_eq(engine.prefillChunkTokens_, 512);
 }
 
 Test(store_format, text_that_is_no_configuration_is_an_error)
@@ -242,20 +242,20 @@
         {"x-request-id", "r"},     {"Host", "h"},          {"Authorization", "Bearer k1"},
         {"X-Deadline-Ms", "1500"}, {"X-Model", "m"},       {"X-Token-Counts", "1460,80"},
         {"X-Length-Hint", "40"},   {"Last-Event-Id", "12"}};
-    const auto head = PlatformDialect().callerHead(fields);
+    const auto head = PlatformDialect().parseRequestHead(fields);
     cr_assert_eq(head.request_, RequestId("r"));
     cr_assert_eq(head.key_, "k1");
     cr_assert_eq(*head.patience_, milliseconds(1500));
     cr_assert_eq(head.promptTokens_, 1460);
-    cr_assert_eq(head.mostAnswerTokens_, 80);
-    cr_assert_eq(head.likelyAnswerTokens_, 40);
+    cr_assert_eq(head.maxAnswerTokens_, 80);
+    cr_assert_eq(head.expectedAnswerTokens_, 40);
     cr_assert_eq(*head.lastEvent_, 12);
 }
 
 Test(dialect, values_that_cannot_be_read_count_as_absent)
 {
     const Fields fields{{"X-Deadline-Ms", "soon"}, {"X-Token-Counts", "7"}, {"Authorization", "k"}};
-    const auto head = PlatformDialect().callerHead(fields);
+    const auto head = PlatformDialect().parseRequestHead(fields);
     cr_assert_not(head.patience_);
     cr_assert_eq(head.promptTokens_, 0);
     cr_assert(head.key_.empty());
@@ -289,18 +289,18 @@
 Test(dialect, refusals_of_endpoints_are_told_from_failures)
 {
     const PlatformDialect dialect;
-    cr_assert(dialect.answerHead({503, {{"X-Not-Executed", "1"}}, {}}).isRefused_);
-    cr_assert(dialect.answerHead({421, {}, {}}).isRefused_);
-    cr_assert_not(dialect.answerHead({503, {}, {}}).isRefused_);
-    cr_assert_not(dialect.answerHead({500, {}, {}}).isRefused_);
-    cr_assert(dialect.answerHead({200, {{"X-Response-Seal", "s"}}, {}}).isSealed_);
+    cr_assert(dialect.parseResponseHead({503, {{"X-Not-Executed", "1"}}, {}}).isRefused_);
+    cr_assert(dialect.parseResponseHead({421, {}, {}}).isRefused_);
+    cr_assert_not(dialect.parseResponseHead({503, {}, {}}).isRefused_);
+    cr_assert_not(dialect.parseResponseHead({500, {}, {}}).isRefused_);
+    cr_assert(dialect.parseResponseHead({200, {{"X-Response-Seal", "s"}}, {}}).isSealed_);
 }
 
 Test(dialect, limits_of_the_rate_are_read_from_answers)
 {
     const PlatformDialect dialect;
     const auto read = [&dialect](std::vector<net::HttpField> fields) {
-        return dialect.answerHead({200, std::move(fields), {}});
+        return dialect.parseResponseHead({200, std::move(fields), {}});
     };
     cr_assert_eq(read({{"server-limit", "1.9"}}).notices_.requestsPerSecond_.value(), 1.9);
     cr_assert_eq(read({{"Server-Limit", "0"}}).notices_.requestsPerSecond_.value(), 0);
@@ -312,11 +312,12 @@
 {
     const PlatformDialect dialect;
     for (const auto *text : {"", "-1", "nan", "inf", "1e999", "2, 3", "2 a second", "two"}) {
-        const auto head = dialect.answerHead({200, {{"Server-Limit", text}}, {}});
+        const auto head = dialect.parseResponseHead({200, {{"Server-Limit", text}}, {}});
         cr_expect(head.notices_.isLimitUnreadable_, "%s", text);
         cr_expect_not(head.notices_.requestsPerSecond_.has_value(), "%s", text);
     }
-    const auto two = dialect.answerHead({200, {{"Server-Limit", "2"}, {"Server-Limit", "3"}}, {}});
+    const auto two
+        = dialect.parseResponseHead({200, {{"Server-Limit", "2"}, {"Server-Limit", "3"}}, {}});
     cr_expect(two.notices_.isLimitUnreadable_);
     cr_expect_not(two.notices_.requestsPerSecond_.has_value());
 }
@@ -325,7 +326,7 @@
 {
     const PlatformDialect dialect;
     const auto read = [&dialect](std::uint32_t status, std::vector<net::HttpField> fields) {
-        return dialect.answerHead({status, std::move(fields), {}}).notices_;
+        return dialect.parseResponseHead({status, std::move(fields), {}}).notices_;
     };
     cr_assert_eq(read(503, {{"retry-after", "3"}}).cooldown_, Duration(seconds(3)));
     cr_assert_eq(read(503, {{"Retry-After", "0.6"}}).cooldown_, Duration(milliseconds(600)));
@@ -341,11 +342,11 @@
 {
     const PlatformDialect dialect;
     for (const auto *text : {"", "-1", "nan", "inf", "2, 3", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
-        const auto notices = dialect.answerHead({503, {{"Retry-After", text}}, {}}).notices_;
+        const auto notices = dialect.parseResponseHead({503, {{"Retry-After", text}}, {}}).notices_;
         cr_expect(notices.isCooldownUnreadable_, "%s", text);
         cr_expect_not(notices.cooldown_.has_value(), "%s", text);
     }
-    const auto absurd = dialect.answerHead({503, {{"Retry-After", "1e300"}}, {}}).notices_;
+    const auto absurd = dialect.parseResponseHead({503, {{"Retry-After", "1e300"}}, {}}).notices_;
     cr_expect_gt(absurd.cooldown_.value(), Duration(std::chrono::hours(24)));
 }
 
@@ -353,11 +354,13 @@
 {
     const PlatformDialect dialect;
     for (const std::uint32_t status : {200U, 500U, 503U}) {
-        const auto leaves = dialect.answerHead({status, {{"server-leaving", "1"}}, {}});
+        const auto leaves = dialect.parseResponseHead({status, {{"server-leaving", "1"}}, {}});
         cr_expect(leaves.notices_.isLeaving_, "%u", status);
-        cr_expect_not(dialect.answerHead({status, {}, {}}).notices_.isLeaving_, "%u", status);
+        cr_expect_not(dialect.parseResponseHead({status, {}, {}}).notices_.isLeaving_, "%u",
+                      status);
     }
-    cr_expect_not(dialect.answerHead({200, {{"Server-Leaving", "0"}}, {}}).notices_.isLeaving_);
+    cr_expect_not(
+        dialect.parseResponseHead({200, {{"Server-Leaving", "0"}}, {}}).notices_.isLeaving_);
 }
 
 Test(dialect, own_failures_carry_no_seal_and_a_time_to_come_back)
--- a/tests/explain/failed_requests.cpp
+++ b/tests/explain/failed_requests.cpp
@@ -42,7 +42,7 @@
         const bool isThere = support::waitUntil([&] {
             found.clear();
             for (std::size_t number = 0; number < Deployment::gatewayCount; ++number) {
-                for (auto &one : deployment_.linesOf(number, "event=" + event + " ")) {
+                for (auto &one : deployment_.logLinesContaining(number, "event=" + event + " ")) {
                     if (one.find(text) != std::string::npos)
                         found.push_back(std::move(one));
                 }
@@ -76,7 +76,7 @@
             deployment.tell("expire/e-" + std::string(domain) + "-" + std::to_string(engine));
     }
     const bool areGone = support::waitUntil(
-        [&] { return deployment.linesOf(0, "event=endpoint-gone").size() >= 12; });
+        [&] { return deployment.logLinesContaining(0, "event=endpoint-gone").size() >= 12; });
     cr_assert(areGone);
     cr_assert_eq(deployment.stream(0, "lost-1").status_, 503);
     const auto finished = trail.line("request-finished", "request=lost-1 ");
--- a/tests/fleet_platform/calm_day.cpp
+++ b/tests/fleet_platform/calm_day.cpp
@@ -25,7 +25,7 @@
                 const auto id = name + "-" + std::to_string(i);
                 const auto result = deployment.stream(gateway, id);
                 if (result.status_ == 200 && result.isWhole_
-                    && eventsIn(result.body_) == wholeStream)
+                    && countSequentialEvents(result.body_) == wholeStream)
                     ++whole_;
                 else if (result.status_ == 503 || result.status_ == 0)
                     ++notRun_;
@@ -62,7 +62,7 @@
     const Deployment deployment;
     for (std::size_t gateway = 0; gateway < Deployment::gatewayCount; ++gateway) {
         const auto result = deployment.stream(gateway, "s-" + std::to_string(gateway));
-        cr_assert_eq(eventsIn(result.body_), wholeStream);
+        cr_assert_eq(countSequentialEvents(result.body_), wholeStream);
         cr_assert_neq(result.field("X-Response-Seal"), "");
         const auto once = deployment.call(gateway, "/once/1", "o-" + std::to_string(gateway));
         cr_assert_eq(once.status_, 200);
@@ -111,7 +111,7 @@
     cr_assert_eq(deployment.harness().waitForExit(deployment.gateway(1)), 0);
     callers.stop();
     cr_assert_eq(callers.broken_, 0);
-    cr_assert_eq(deployment.linesOf(1, "event=daemon-stopped").size(), 1);
+    cr_assert_eq(deployment.logLinesContaining(1, "event=daemon-stopped").size(), 1);
 }
 
 Test(fleet_platform, streams_outlive_a_member_that_falls_silent)
@@ -143,19 +143,20 @@
 {
     Deployment deployment;
     for (std::size_t gateway = 0; gateway < Deployment::gatewayCount; ++gateway) {
-        if (deployment.linesOf(gateway, "event=planner-lease-gained").empty())
+        if (deployment.logLinesContaining(gateway, "event=planner-lease-gained").empty())
             continue;
         deployment.harness().kill(deployment.gateway(gateway));
         deployment.tell("silence/e-0-0");
         deployment.tell("expire/e-0-0");
         const auto other = (gateway + 1) % Deployment::gatewayCount;
         cr_assert(support::waitUntil([&] {
-            return eventsIn(deployment.stream(other, "k").body_) == wholeStream
-                   && eventsIn(deployment.stream(other, "k", "n").body_) == wholeStream;
+            return countSequentialEvents(deployment.stream(other, "k").body_) == wholeStream
+                   && countSequentialEvents(deployment.stream(other, "k", "n").body_)
+                          == wholeStream;
         }));
         deployment.startGateway(gateway);
         cr_assert(support::waitUntil([&] { return deployment.isReady(gateway); }));
-        cr_assert_eq(eventsIn(deployment.stream(gateway, "k").body_), wholeStream);
+        cr_assert_eq(countSequentialEvents(deployment.stream(gateway, "k").body_), wholeStream);
         break;
     }
     cr_assert(deployment.report().violations_.empty());
@@ -186,10 +187,10 @@
     cr_assert_geq(crashes, 3);
     cr_assert_leq(crashes, 5);
     cr_assert_eq(deployment.stream(0, "pill-x", "m", "key-a", "/stream/pill").status_, 503);
-    cr_assert_not(deployment.linesOf(0, "event=request-quarantined").empty());
+    cr_assert_not(deployment.logLinesContaining(0, "event=request-quarantined").empty());
     // Its engines are back for others.
     cr_assert(support::waitUntil(
-        [&] { return eventsIn(deployment.stream(1, "other").body_) == wholeStream; }));
+        [&] { return countSequentialEvents(deployment.stream(1, "other").body_) == wholeStream; }));
     std::this_thread::sleep_for(seconds(1));
     for (std::size_t number = 0; number < Deployment::gatewayCount; ++number)
         deployment.harness().kill(deployment.gateway(number));
@@ -198,7 +199,7 @@
     cr_assert(support::waitUntil([&] {
         for (std::size_t number = 0; number < Deployment::gatewayCount; ++number) {
             if (!deployment.isReady(number)
-                || eventsIn(deployment.stream(number, "again").body_) != wholeStream)
+                || countSequentialEvents(deployment.stream(number, "again").body_) != wholeStream)
                 return false;
         }
         return true;
--- a/tests/fleet_platform/soak.cpp
+++ b/tests/fleet_platform/soak.cpp
@@ -69,7 +69,8 @@
             continue;
         }
         const auto result = deployment.stream(gateway, id, random.below(2) == 0 ? "m" : "n");
-        if (result.status_ == 200 && result.isWhole_ && eventsIn(result.body_) != wholeStream)
+        if (result.status_ == 200 && result.isWhole_
+            && countSequentialEvents(result.body_) != wholeStream)
             ++falseEnds;
     }
 }
@@ -205,15 +206,16 @@
         const auto link = random_.below(deployment_.linkCount());
         spoiled_.insert(link);
         if (random_.below(4) == 0)
-            deployment_.spoil(link, "cut");
+            deployment_.controlLink(link, "cut");
         else
-            deployment_.spoil(link, "faults", linkFaults.at(random_.below(linkFaults.size())));
+            deployment_.controlLink(link, "faults",
+                                    linkFaults.at(random_.below(linkFaults.size())));
     }
 
     void mendLinks()
     {
         for (const auto link : spoiled_)
-            deployment_.spoil(link, "faults", "{}");
+            deployment_.controlLink(link, "faults", "{}");
         spoiled_.clear();
     }
 
@@ -278,8 +280,9 @@
     faults.undo();
     const bool recovers = support::waitUntil([&deployment] {
         for (std::size_t number = 0; number < Deployment::gatewayCount; ++number) {
-            if (eventsIn(deployment.stream(number, "after").body_) != wholeStream
-                || eventsIn(deployment.stream(number, "after", "n").body_) != wholeStream)
+            if (countSequentialEvents(deployment.stream(number, "after").body_) != wholeStream
+                || countSequentialEvents(deployment.stream(number, "after", "n").body_)
+                       != wholeStream)
                 return false;
         }
         return true;
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -350,7 +350,7 @@
     }
     (void)decodeClockQuestion(text);
     (void)decodeSilenceAlarm(text);
-    (void)decodeConfigurationWanted(text);
+    (void)decodeConfigurationRequest(text);
     (void)decodeConfigurationPart(text);
 }
 
--- a/tests/serving/configuration_exchange.cpp
+++ b/tests/serving/configuration_exchange.cpp
@@ -31,7 +31,7 @@
     {
     }
 
-    void answer(const ConfigurationWanted &wanted)
+    void answer(const ConfigurationRequest &wanted)
     {
         SendBudget ample(1e9);
         exchange_.answer(wanted, ample, start);
@@ -60,9 +60,9 @@
     cr_assert(side.sent_.all_.empty());
     side.exchange_.heardOf(ConfigVersion(4), {peer}, start + milliseconds(400));
     cr_assert_not(side.sent_.all_.empty());
-    const auto wanted = decodeConfigurationWanted(side.sent_.all_.front().second);
+    const auto wanted = decodeConfigurationRequest(side.sent_.all_.front().second);
     cr_assert(wanted);
-    cr_assert(*wanted == (ConfigurationWanted{self, ConfigVersion(3), {}, {}}));
+    cr_assert(*wanted == (ConfigurationRequest{self, ConfigVersion(3), {}, {}}));
     const auto count = side.sent_.all_.size();
     side.exchange_.heardOf(ConfigVersion(4), {peer}, start + milliseconds(500));
     cr_assert_eq(side.sent_.all_.size(), count);
--- a/tests/serving/replica_converting.cpp
+++ b/tests/serving/replica_converting.cpp
@@ -77,7 +77,7 @@
 Test(replica_converting, group_serves_on_while_its_engines_load_the_other_model)
 {
     ShiftedBench bench;
-    bench.profile_.loadsAtOnce_ = 20;
+    bench.profile_.fullSpeedLoads_ = 20;
     const auto plan = bench.plan();
     cr_assert(targetsOf<CloseOrder>(plan).empty());
     cr_assert_eq(loadsOf(plan, "n"), 4);
@@ -86,7 +86,7 @@
 Test(replica_converting, half_of_the_loads_at_once_stay_for_engines_without_any_model)
 {
     ShiftedBench bench;
-    bench.profile_.loadsAtOnce_ = 4;
+    bench.profile_.fullSpeedLoads_ = 4;
     cr_assert_eq(loadsOf(bench.plan(), "n"), 2);
 }
 
--- a/tests/serving/replica_far.cpp
+++ b/tests/serving/replica_far.cpp
@@ -15,7 +15,7 @@
     Bench bench;
     bench.profile_.models_.resize(1);
     bench.profile_.models_.front().members_ = 4;
-    bench.profile_.farFactor_ = 2.5;
+    bench.profile_.crossDomainFactor_ = 2.5;
     return bench;
 }
 
--- a/tests/serving/servable.cpp
+++ b/tests/serving/servable.cpp
@@ -41,9 +41,9 @@
 Test(servable, prompt_beyond_the_memory_of_a_group_is_not_servable)
 {
     auto service = engines();
-    service.engine_->memoryTokens_ = 499;
+    service.engine_->kvCacheTokens_ = 499;
     cr_assert(whyNotServable(service, demand()));
-    service.engine_->memoryTokens_ = 500;
+    service.engine_->kvCacheTokens_ = 500;
     cr_assert_not(whyNotServable(service, demand()));
 }
 
@@ -81,7 +81,7 @@
     // 500 tokens take 250 ms.
     for (auto &service : configuration.services_) {
         if (service.engine_)
-            service.engine_->readTokensPerSecond_ = 2000;
+            service.engine_->prefillTokensPerSecond_ = 2000;
     }
     bench.gateway_.setRoutes(std::make_shared<RouteTable>(configuration));
     const auto caller = bench.ask("/stream/7");
--- a/tests/serving/sessions.cpp
+++ b/tests/serving/sessions.cpp
@@ -105,7 +105,7 @@
     GatewayFixture bench;
     auto configuration = gatewayConfiguration();
     configuration.version_ = ConfigVersion(4);
-    configuration.routes_[1].mostTries_ = 1;
+    configuration.routes_[1].maxAttempts_ = 1;
     bench.gateway_.setRoutes(std::make_shared<RouteTable>(configuration));
     bench.ask("/again/7");
     bench.lastCall()->connect();
@@ -293,7 +293,7 @@
         auto configuration = gatewayConfiguration();
         configuration.version_ = ConfigVersion(4);
         for (auto &route : configuration.routes_)
-            route.goal_ = goal;
+            route.latencyGoal_ = goal;
         bench.gateway_.setRoutes(std::make_shared<RouteTable>(configuration));
         const auto caller = bench.ask("/once/7");
         for (int i = 0; i < 2; ++i) {
@@ -312,7 +312,7 @@
     auto configuration = gatewayConfiguration();
     configuration.version_ = ConfigVersion(4);
     for (auto &route : configuration.routes_)
-        route.goal_ = milliseconds(1000);
+        route.latencyGoal_ = milliseconds(1000);
     bench.gateway_.setRoutes(std::make_shared<RouteTable>(configuration));
     bench.ask("/again/7");
     bench.lastCall()->connect();
--- a/tests/serving/store_watch.cpp
+++ b/tests/serving/store_watch.cpp
@@ -143,7 +143,7 @@
 Test(store_watch, what_was_passed_on_is_not_undone_by_an_older_answer)
 {
     Bench bench;
-    cr_assert(bench.watch_.takeRelayed(RowVersion(10), RowVersion(12), RowVersion(12))
+    cr_assert(bench.watch_.applyRelayed(RowVersion(10), RowVersion(12), RowVersion(12))
               == RowVersion(10));
     bench.answer(platform::ChangePage{{change(11)}, RowVersion(11)});
     cr_assert(bench.listener_.changed_.empty());
@@ -162,8 +162,8 @@
 Test(store_watch, changes_with_a_gap_before_them_are_left_out)
 {
     Bench bench;
-    cr_assert_not(bench.watch_.takeRelayed(RowVersion(12), RowVersion(13), RowVersion(13)));
-    cr_assert_not(bench.watch_.takeRelayed(RowVersion(8), RowVersion(10), RowVersion(10)));
+    cr_assert_not(bench.watch_.applyRelayed(RowVersion(12), RowVersion(13), RowVersion(13)));
+    cr_assert_not(bench.watch_.applyRelayed(RowVersion(8), RowVersion(10), RowVersion(10)));
     cr_assert_eq(bench.watch_.version(), RowVersion(10));
 }
 
@@ -182,7 +182,7 @@
 Test(store_watch, pauses_after_failures_grow_up_to_what_is_set)
 {
     Bench bench;
-    bench.watch_.setFailurePause(milliseconds(2500));
+    bench.watch_.setMaxRetryDelay(milliseconds(2500));
     for (int i = 0; i < 8; ++i) {
         bench.answer(Error(StoreUnavailable{"changes", "503"}));
         bench.clock_.advance(milliseconds(2500));
@@ -191,7 +191,7 @@
     bench.answer(Error(StoreUnavailable{"changes", "503"}));
     bench.clock_.advance(milliseconds(2400));
     cr_assert(bench.store_.queries_.empty());
-    bench.watch_.setFailurePause(milliseconds(400));
+    bench.watch_.setMaxRetryDelay(milliseconds(400));
     bench.clock_.advance(milliseconds(200));
     bench.answer(Error(StoreUnavailable{"changes", "503"}));
     bench.clock_.advance(milliseconds(400));
--- a/tests/support/fleet_platform_deployment.cpp
+++ b/tests/support/fleet_platform_deployment.cpp
@@ -133,7 +133,8 @@
     return json::parse(result.body_).as_object().at("port").to_number<std::uint16_t>();
 }
 
-void Deployment::spoil(std::size_t link, const std::string &action, const std::string &body) const
+void Deployment::controlLink(std::size_t link, const std::string &action,
+                             const std::string &body) const
 {
     const auto path = "/test/links/" + std::to_string(link) + "/" + action;
     const auto result = support::Caller({"127.0.0.1", proxy_}).post(path, body);
@@ -230,7 +231,8 @@
     return caller.fetch("/ready").status_ == 200;
 }
 
-std::vector<std::string> Deployment::linesOf(std::size_t gateway, const std::string &text) const
+std::vector<std::string> Deployment::logLinesContaining(std::size_t gateway,
+                                                        const std::string &text) const
 {
     std::vector<std::string> result;
     std::istringstream lines(harness_.output(gateways_.at(gateway)));
@@ -241,7 +243,7 @@
     return result;
 }
 
-std::size_t eventsIn(const std::string &body)
+std::size_t countSequentialEvents(const std::string &body)
 {
     std::istringstream lines(body);
     std::size_t count = 0;
--- a/tests/support/fleet_platform_deployment.hpp
+++ b/tests/support/fleet_platform_deployment.hpp
@@ -59,7 +59,8 @@
     /// \{
     [[nodiscard]] std::size_t linkCount() const { return linkCount_; }
     /// \brief Tells the fault_proxy program something of a link, such as "faults".
-    void spoil(std::size_t link, const std::string &action, const std::string &body = {}) const;
+    void controlLink(std::size_t link, const std::string &action,
+                     const std::string &body = {}) const;
     /// \}
 
     [[nodiscard]] bool isReady(std::size_t gateway) const;
@@ -69,8 +70,8 @@
         return gateways_.at(number);
     }
     /// \brief Log lines of a gateway that hold \p text.
-    [[nodiscard]] std::vector<std::string> linesOf(std::size_t gateway,
-                                                   const std::string &text) const;
+    [[nodiscard]] std::vector<std::string> logLinesContaining(std::size_t gateway,
+                                                              const std::string &text) const;
 
     static constexpr std::size_t gatewayCount = 3;
 
@@ -96,6 +97,6 @@
 };
 
 /// \brief Events of a stream; nothing if they do not rise by one from 1.
-[[nodiscard]] std::size_t eventsIn(const std::string &body);
+[[nodiscard]] std::size_t countSequentialEvents(const std::string &body);
 
 } // namespace cardamombay::test
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -71,9 +71,9 @@
     result.prefix_ = prefix;
     result.kind_ = kind;
     result.timeout_ = seconds(5);
-    result.goal_ = milliseconds(300);
-    result.pauseGoal_ = milliseconds(200);
-    result.mostTries_ = 2;
+    result.latencyGoal_ = milliseconds(300);
+    result.eventGapGoal_ = milliseconds(200);
+    result.maxAttempts_ = 2;
     result.backends_ = {{ServiceName(service), 1}};
     return result;
 }
@@ -83,10 +83,10 @@
     EngineProfile result;
     result.slots_ = 4;
     result.step_ = milliseconds(6);
-    result.readTokensPerSecond_ = 50000;
-    result.stride_ = 7;
-    result.farFactor_ = 2.5;
-    result.loadsAtOnce_ = 6;
+    result.prefillTokensPerSecond_ = 50000;
+    result.tokensPerEvent_ = 7;
+    result.crossDomainFactor_ = 2.5;
+    result.fullSpeedLoads_ = 6;
     result.models_ = {{ModelName("m"), 2, 0.5, 1, seconds(16), seconds(1)},
                       {ModelName("n"), 2, 0.5, 1, seconds(12), seconds(1)}};
     return result;
@@ -104,15 +104,15 @@
 
 } // namespace
 
-CallerHead FakeDialect::callerHead(std::span<const net::HttpField> fields) const
+RequestHead FakeDialect::parseRequestHead(std::span<const net::HttpField> fields) const
 {
-    CallerHead head;
+    RequestHead head;
     head.request_ = RequestId(fieldIn(fields, "id"));
     head.host_ = fieldIn(fields, "host");
     head.key_ = fieldIn(fields, "key");
     head.model_ = ModelName(fieldIn(fields, "model"));
     head.promptTokens_ = 500;
-    head.mostAnswerTokens_ = 100;
+    head.maxAnswerTokens_ = 100;
     if (const auto waits = fieldIn(fields, "waits"); !waits.empty())
         head.patience_ = milliseconds(std::stoll(waits));
     return head;
@@ -130,9 +130,9 @@
     return result;
 }
 
-AnswerHead FakeDialect::answerHead(const net::HttpResponse &head) const
+EndpointResponseHead FakeDialect::parseResponseHead(const net::HttpResponse &head) const
 {
-    AnswerHead result;
+    EndpointResponseHead result;
     result.isRefused_ = !head.field("refused").empty();
     result.isSealed_ = !head.field("seal").empty();
     if (const auto limit = head.field("limit"); !limit.empty())
@@ -149,13 +149,14 @@
 }
 
 net::HttpResponse FakeDialect::failure(std::uint32_t status, std::string_view reason,
-                                       std::optional<Duration> comeBack) const
+                                       std::optional<Duration> suggestedRetryDelay) const
 {
     net::HttpResponse response;
     response.status_ = status;
     response.body_ = reason;
-    if (comeBack)
-        response.fields_.push_back({"come-back", std::to_string(toMilliseconds(*comeBack))});
+    if (suggestedRetryDelay)
+        response.fields_.push_back(
+            {"come-back", std::to_string(toMilliseconds(*suggestedRetryDelay))});
     return response;
 }
 
--- a/tests/support/shifting_fleet.hpp
+++ b/tests/support/shifting_fleet.hpp
@@ -64,7 +64,7 @@
         bench_.profile_.models_[1].members_ = smallGroup;
         bench_.profile_.models_[0].share_ = 0.5;
         bench_.profile_.models_[1].share_ = 0.5;
-        bench_.profile_.loadsAtOnce_ = 20;
+        bench_.profile_.fullSpeedLoads_ = 20;
         bench_.input_.mix_ = &mix;
         bench_.input_.isFirstLoad_ = true;
         for (int i = 0; i < domains * enginesPerDomain; ++i)
