--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -179,7 +179,7 @@
 #include <cardamombay/serving/configuration.hpp>
 #include <cardamombay/serving/configuration_exchange.hpp>
 #include <cardamombay/serving/crash_detector.hpp>
-#include <cardamombay/serving/dialects.hpp>
+#include <cardamombay/serving/dialect.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
 #include <cardamombay/serving/duty_order.hpp>
 #include <cardamombay/serving/endpoint.hpp>
@@ -191,7 +191,6 @@
 #include <cardamombay/serving/evacuations.hpp>
 #include <cardamombay/serving/event_scanner.hpp>
 #include <cardamombay/serving/failure_blame.hpp>
-#include <cardamombay/serving/formats.hpp>
 #include <cardamombay/serving/gated_orders.hpp>
 #include <cardamombay/serving/gateway.hpp>
 #include <cardamombay/serving/gateway_metrics.hpp>
@@ -223,6 +222,7 @@
 #include <cardamombay/serving/send_gate.hpp>
 #include <cardamombay/serving/send_rates.hpp>
 #include <cardamombay/serving/servable.hpp>
+#include <cardamombay/serving/store_format.hpp>
 #include <cardamombay/serving/store_watch.hpp>
 
 #include <cardamombay/settings/settings.hpp>
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -11,7 +11,7 @@
 #include <cardamombay/serving/balancer.hpp>
 #include <cardamombay/serving/cold_endpoints.hpp>
 #include <cardamombay/serving/crash_detector.hpp>
-#include <cardamombay/serving/dialects.hpp>
+#include <cardamombay/serving/dialect.hpp>
 #include <cardamombay/serving/endpoint_gate.hpp>
 #include <cardamombay/serving/endpoint_notices.hpp>
 #include <cardamombay/serving/failure_blame.hpp>
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -8,13 +8,13 @@
 #include <cardamombay/serving/configuration_exchange.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
 #include <cardamombay/serving/evacuations.hpp>
-#include <cardamombay/serving/formats.hpp>
 #include <cardamombay/serving/gateway.hpp>
 #include <cardamombay/serving/news_budget.hpp>
 #include <cardamombay/serving/peer_digests.hpp>
 #include <cardamombay/serving/replica_manager.hpp>
 #include <cardamombay/serving/reporters.hpp>
 #include <cardamombay/serving/roster.hpp>
+#include <cardamombay/serving/store_format.hpp>
 #include <cardamombay/serving/store_watch.hpp>
 
 #include <set>
--- a/src/serving/session.hpp
+++ b/src/serving/session.hpp
@@ -8,7 +8,7 @@
 #include <cardamombay/net/server_exchange.hpp>
 #include <cardamombay/net/upstream.hpp>
 #include <cardamombay/serving/balancer.hpp>
-#include <cardamombay/serving/dialects.hpp>
+#include <cardamombay/serving/dialect.hpp>
 #include <cardamombay/serving/endpoint_gate.hpp>
 #include <cardamombay/serving/endpoint_limits.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
