--- a/include/cardamombay/serving/change_history.hpp
+++ b/include/cardamombay/serving/change_history.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief The latest changes of endpoints, for entry VMs that missed some.
+/// \brief Recent endpoint changes, for entry VMs that missed some.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -11,9 +11,9 @@
 
 namespace cardamombay::serving {
 
-/// \brief The newest change of each endpoint, in the order of their versions.
-/// \details Grows with the endpoints that live, not with their changes: a member that missed some
-/// gets them however many there were, also in the second in which all engines form their groups.
+/// \brief The latest change of each endpoint, ordered by version.
+/// \details Its size is bounded by the number of live endpoints, not by the number of changes, so
+/// a peer can catch up after any number of changes, such as when all engines form groups at once.
 /// \code
 /// if (const auto missed = history.after(member.endpoints_))
 ///     send(member, *missed);
@@ -21,28 +21,29 @@
 class ChangeHistory
 {
 public:
-    /// \brief Everything before \p version is unknown here; for a table that was listed.
+    /// \brief Clears the history. It is complete after \p version only; called once the table has
+    /// been listed.
     void restart(RowVersion version);
     void add(EndpointChange change, TimePoint now);
 
-    /// \brief What changed after \p version, each endpoint once with its newest entry.
+    /// \brief The changes after \p version, each endpoint once with its latest entry.
     /// \returns nothing if nothing changed, or if the history does not reach back to \p version.
     [[nodiscard]] std::optional<EndpointRelay> after(RowVersion version) const;
 
 private:
-    /// An endpoint that is no longer listed.
-    struct End
+    /// The removal of an endpoint from the table.
+    struct Removal
     {
         RowVersion version_;
         VmId id_;
         TimePoint at_{};
     };
-    void forget(const End &end);
+    void dropRemoval(const Removal &removal);
 
     std::map<std::pair<RowVersion, VmId>, EndpointChange> changes_;
-    std::map<VmId, RowVersion> versions_; ///< Of each endpoint's newest change.
-    std::deque<End> ends_;
-    RowVersion from_; ///< All changes after this version are here.
+    std::map<VmId, RowVersion> latestVersions_; ///< Version of each endpoint's latest change.
+    std::deque<Removal> removals_;
+    RowVersion completeAfter_; ///< The history holds all changes after this version.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/metered_platform.hpp
+++ b/include/cardamombay/serving/metered_platform.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief Counts and times the calls to the platform's store and the orders to engines.
-/// \details Passes everything on unchanged; decides nothing.
+/// \brief Metrics for calls to the platform's store and for orders to engines.
+/// \details Decorators that forward all calls unchanged.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -10,35 +10,35 @@
 
 namespace cardamombay::serving {
 
-/// \brief Counters and times of one kind of call.
-/// \details Metrics NAME_total with the labels "call" and "result" (ok, or the kind of error), and
-/// the histogram NAME_seconds.
+/// \brief Counter and duration histogram for one kind of call.
+/// \details Exports the counter NAME_total with the labels "call" and "result" ("ok" or the kind of
+/// error), and the histogram NAME_seconds.
 class CallMeter
 {
 public:
     CallMeter(metrics::Registry &registry, Clock &clock, std::string name, std::string call);
 
-    /// \brief A callback that counts the result and hands it to \p done.
+    /// \returns a callback that records the result and passes it to \p done.
     template<typename Value>
     [[nodiscard]] Callback<Value> metered(Callback<Value> done)
     {
-        return [this, since = clock_.now(), done = std::move(done)](Result<Value> result) {
-            count(isOk(result) ? "ok" : std::string(kindOf(errorOf(result))), since);
+        return [this, startedAt = clock_.now(), done = std::move(done)](Result<Value> result) {
+            count(isOk(result) ? "ok" : std::string(kindOf(errorOf(result))), startedAt);
             done(std::move(result));
         };
     }
 
 private:
-    void count(const std::string &result, TimePoint since);
+    void count(const std::string &result, TimePoint startedAt);
 
     metrics::Registry &registry_;
     Clock &clock_;
     std::string name_;
     std::string call_;
-    metrics::Histogram seconds_;
+    metrics::Histogram duration_;
 };
 
-/// \brief A table store with its feed of changes, metered.
+/// \brief Table store and change feed with metrics.
 /// \code
 /// MeteredStore store(clock, client, client, registry);
 /// store.read({key}, done); // cardamombay_store_calls_total{call="read",result="ok"} 1
@@ -46,7 +46,7 @@
 class MeteredStore final : public platform::TableStore, public platform::ChangeFeed
 {
 public:
-    /// \param store, feed, registry outlive this.
+    /// \param clock, store, feed, registry must outlive this.
     MeteredStore(Clock &clock, platform::TableStore &store, platform::ChangeFeed &feed,
                  metrics::Registry &registry);
 
@@ -54,7 +54,7 @@
     void read(std::vector<platform::RowKey> keys,
               Callback<std::vector<platform::Row>> done) override;
     void scan(platform::Scan scan, Callback<platform::ScanPage> done) override;
-    /// \details The time of a call includes its wait for the first change.
+    /// \details The measured time includes the wait for the first change.
     void changes(platform::ChangeQuery query, Callback<platform::ChangePage> done) override;
 
 private:
@@ -66,11 +66,11 @@
     CallMeter changes_;
 };
 
-/// \brief Orders and questions to engines, metered.
+/// \brief Orders and state queries to engines, with metrics.
 class MeteredOrders final : public ReplicaOrders
 {
 public:
-    /// \param orders, registry outlive this.
+    /// \param clock, orders, registry must outlive this.
     MeteredOrders(Clock &clock, ReplicaOrders &orders, metrics::Registry &registry);
 
     void send(const Endpoint &engine, const Order &order, std::uint64_t fence,
--- a/include/cardamombay/serving/store_format.hpp
+++ b/include/cardamombay/serving/store_format.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Seams to whoever knows how configurations and endpoint entries are written.
+/// \brief Interface to the encoding of configurations and endpoint entries.
 #pragma once
 
 #include <cardamombay/core/result.hpp>
@@ -11,7 +11,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief Decodes what operators and endpoints wrote into the platform's store.
+/// \brief Decodes rows that operators and endpoints write to the platform's store.
 class StoreFormat
 {
 public:
@@ -20,15 +20,16 @@
     StoreFormat &operator=(const StoreFormat &) = delete;
     virtual ~StoreFormat() = default;
 
-    /// \brief The table and key under which operators keep the configuration.
+    /// \brief Table and key of the configuration.
     [[nodiscard]] virtual std::string_view configurationTable() const = 0;
     [[nodiscard]] virtual std::string_view configurationKey() const = 0;
 
-    /// \brief The table in which endpoints register themselves under their ids.
+    /// \brief The table in which endpoints register themselves, keyed by their id.
     [[nodiscard]] virtual std::string_view endpointTable() const = 0;
 
-    /// \brief The availability zone that a row beside the configuration evacuates while it exists.
-    /// \returns nothing if the row of that key is about something else.
+    /// \brief The availability zone that is evacuated while a row with \p key exists in the
+    /// configuration table.
+    /// \returns nothing if \p key does not denote an evacuation.
     [[nodiscard]] virtual std::optional<AvailabilityZone>
     evacuatedZone(std::string_view key) const = 0;
 
--- a/include/cardamombay/serving/store_watch.hpp
+++ b/include/cardamombay/serving/store_watch.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// \brief Keeps a copy of one table of the platform's store up to date.
-/// \details Lists the table once, then waits for changes; lists anew when the store has dropped the
-/// history in between. Decides when the store counts as lost and as regained.
+/// \brief Keeps a local copy of one table of the platform's store up to date.
+/// \details Lists the table once and then long-polls the change feed. Lists the table again when
+/// the store no longer has the change history since the local version. Decides when the store
+/// counts as unreachable and as reachable again.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -14,7 +15,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief Receives what a watch learns.
+/// \brief Receives the events of a StoreWatch.
 class WatchListener
 {
 public:
@@ -23,18 +24,18 @@
     WatchListener &operator=(const WatchListener &) = delete;
     virtual ~WatchListener() = default;
 
-    /// \brief All rows of the table; takes the place of what was known.
+    /// \brief Delivers all rows of the table; they replace all rows delivered before.
     virtual void tableListed(const std::string &table, const std::vector<platform::Row> &rows) = 0;
     virtual void rowChanged(const platform::RowChange &change) = 0;
-    /// \brief Changes that a call of this watch brought, all told by rowChanged() before.
+    /// \brief Reports the version range of one feed response, after rowChanged() for each change.
     virtual void changesArrived(const std::string &table, RowVersion after, RowVersion to) = 0;
-    /// \brief The copy held all that was committed at \p asOf.
+    /// \brief The copy contains all changes committed by \p asOf.
     virtual void tableConfirmed(const std::string &table, TimePoint asOf) = 0;
-    /// \brief The store does not answer, or answers again.
+    /// \brief The store became unreachable, or reachable again.
     virtual void storeReachable(const std::string &table, bool isReachable) = 0;
 };
 
-/// \brief Watches one table; on the control thread.
+/// \brief Watches one table. Used on the control thread only.
 /// \code
 /// StoreWatch watch(clock, store, feed, {"entries", std::chrono::seconds(2)}, listener);
 /// watch.start();
@@ -45,15 +46,16 @@
     struct Settings
     {
         std::string table_;
-        Duration wait_{}; ///< Longest wait of one call, and longest time between two
-                          ///< confirmations while the store answers; a call costs.
-        /// Longest pause after a call that brought changes, so that one call brings several.
+        /// Maximum long-poll time of a call, and thus the maximum time between two confirmations
+        /// while the store answers. Shorter times cost more store calls.
+        Duration wait_{};
+        /// Maximum pause after a response with changes, so that one call returns several changes.
         Duration pause_{};
-        /// Longest pause after failures: what depends on the watch may be two seconds late at most.
+        /// Maximum delay before a retry; dependents of the watch tolerate data up to 2 s late.
         Duration maxRetryDelay_ = std::chrono::milliseconds(400);
     };
 
-    /// \param listener outlives the watch, like the others.
+    /// \param clock, store, feed, listener must outlive the watch.
     StoreWatch(Clock &clock, platform::TableStore &store, platform::ChangeFeed &feed,
                Settings settings, WatchListener &listener);
     ~StoreWatch();
@@ -62,60 +64,58 @@
 
     void start();
 
-    /// \name Instead of watching, another entry VM's news
+    /// \name Updates relayed by another entry VM, in place of own calls
     /// \{
-    /// \brief Watches on, or stops after the call under way.
+    /// \brief Resumes watching, or stops it once the call in flight completes.
     void setActive(bool isActive);
-    /// \brief Asks once for what has changed, also in a pause; for a reader that hears of a newer
-    /// version.
+    /// \brief Requests changes once without waiting, even during a pause; used when a peer
+    /// announces a newer version.
     void catchUp();
-    /// \brief Lists the table anew at once, since what is known here is of an earlier timeline of
-    /// the store; answers to calls under way are not taken any more.
+    /// \brief Lists the table again immediately because the copy belongs to an earlier timeline of
+    /// the store. Responses to calls in flight are discarded.
     void relist();
-    /// \brief Another reader passes on the changes after \p after up to \p to.
-    /// \returns the version that the copy had, if the changes follow on: those after it are to be
-    /// taken. Otherwise nothing; some are missing in between, or all are known.
+    /// \brief Applies changes relayed by another reader, later than \p after and up to \p to.
+    /// \returns the previous version of the copy if the changes continue from it; the caller then
+    /// applies those after that version. Nothing if there is a gap or no change is new.
     [[nodiscard]] std::optional<RowVersion> applyRelayed(RowVersion after, RowVersion to,
                                                          RowVersion lastChange);
     /// \}
 
-    /// \brief Changes the longest pause after failures.
     void setMaxRetryDelay(Duration pause) { settings_.maxRetryDelay_ = pause; }
 
-    /// \brief Changes the longest wait of a call, and with it the longest time between two
-    /// confirmations.
+    /// \brief Sets the maximum long-poll time, and with it the maximum time between confirmations.
     void setWait(Duration wait) { settings_.wait_ = wait; }
 
-    /// \brief Changes the pause after a call that brought changes.
+    /// \brief Sets the maximum pause after a response with changes.
     void setPause(Duration pause) { settings_.pause_ = pause; }
 
     /// \brief True once the table has been listed.
     [[nodiscard]] bool isListed() const { return isListed_; }
 
-    /// \brief Version of the newest row that the copy took; the store's own version also rises with
-    /// writes to other tables.
+    /// \brief Version of the newest row in the copy. Unlike version(), it does not rise with writes
+    /// to other tables.
     [[nodiscard]] RowVersion lastChange() const { return lastChange_; }
 
     [[nodiscard]] const std::string &table() const { return settings_.table_; }
 
-    /// \brief The version that the copy has.
+    /// \brief Store version up to which the copy is complete.
     [[nodiscard]] RowVersion version() const { return version_; }
 
 private:
     void list();
-    void listFrom(std::vector<platform::Row> rows, std::string after, TimePoint since,
+    void listPage(std::vector<platform::Row> rows, std::string after, TimePoint startedAt,
                   RowVersion version);
-    void listed(const std::vector<platform::Row> &rows, RowVersion version, TimePoint since);
-    void next();
+    void onListed(const std::vector<platform::Row> &rows, RowVersion version, TimePoint startedAt);
+    void resume();
     [[nodiscard]] Duration remainingWait() const;
-    void wait();
-    void ask(Duration wait);
-    void changed(const platform::ChangePage &page, TimePoint since, Duration wait);
-    void failed(const Error &error);
-    void confirmed(TimePoint asOf);
-    void tell(const platform::RowChange &change);
-    void reachable(bool isReachable);
-    void later(Duration pause, void (StoreWatch::*step)());
+    void waitForChanges();
+    void requestChanges(Duration wait);
+    void onChanges(const platform::ChangePage &page, TimePoint startedAt, Duration wait);
+    void onFailure(const Error &error);
+    void confirm(TimePoint asOf);
+    void notifyChange(const platform::RowChange &change);
+    void setReachable(bool isReachable);
+    void scheduleStep(Duration pause, void (StoreWatch::*step)());
 
     Clock &clock_;
     platform::TableStore &store_;
@@ -124,12 +124,12 @@
     WatchListener &listener_;
     RowVersion version_;
     RowVersion lastChange_;
-    TimePoint confirmedAt_{}; ///< By the own calls.
-    std::uint64_t round_ = 0; ///< Answers to calls of an earlier one are not taken.
+    TimePoint confirmedAt_{};      ///< Latest confirmation by this watch's own calls.
+    std::uint64_t generation_ = 0; ///< Responses to calls of an earlier generation are discarded.
     bool isListed_ = false;
     bool isActive_ = true;
-    bool isAsking_ = false;  ///< A call is under way or due.
-    bool isCalling_ = false; ///< A call for changes is under way.
+    bool isBusy_ = false;        ///< A call is in flight or scheduled.
+    bool isCallPending_ = false; ///< A call for changes is in flight.
     bool isReachable_ = true;
     std::uint32_t failures_ = 0;
     TimerId timer_ = TimerId::None;
--- a/src/serving/change_history.cpp
+++ b/src/serving/change_history.cpp
@@ -7,50 +7,50 @@
 
 namespace {
 
-/// A reader that still knows an endpoint which ended longer ago lists the table anew; the
-/// platform's own feed goes back 20 s.
-constexpr Duration endsKeptFor = std::chrono::seconds(10);
+/// A reader that missed a removal from before this period lists the table again; the platform's own
+/// feed goes back 20 s.
+constexpr Duration removalRetention = std::chrono::seconds(10);
 
 } // namespace
 
 void ChangeHistory::restart(RowVersion version)
 {
     changes_.clear();
-    versions_.clear();
-    ends_.clear();
-    from_ = version;
+    latestVersions_.clear();
+    removals_.clear();
+    completeAfter_ = version;
 }
 
 void ChangeHistory::add(EndpointChange change, TimePoint now)
 {
-    const auto [known, isNew] = versions_.try_emplace(change.id_, change.version_);
-    if (!isNew) {
-        changes_.erase({known->second, change.id_});
-        known->second = change.version_;
+    const auto [entry, isInserted] = latestVersions_.try_emplace(change.id_, change.version_);
+    if (!isInserted) {
+        changes_.erase({entry->second, change.id_});
+        entry->second = change.version_;
     }
     if (!change.endpoint_)
-        ends_.push_back({change.version_, change.id_, now});
+        removals_.push_back({change.version_, change.id_, now});
     const auto key = std::pair(change.version_, change.id_);
     changes_.insert_or_assign(key, std::move(change));
-    while (!ends_.empty() && now - ends_.front().at_ > endsKeptFor) {
-        forget(ends_.front());
-        ends_.pop_front();
+    while (!removals_.empty() && now - removals_.front().at_ > removalRetention) {
+        dropRemoval(removals_.front());
+        removals_.pop_front();
     }
 }
 
-void ChangeHistory::forget(const End &end)
+void ChangeHistory::dropRemoval(const Removal &removal)
 {
-    from_ = std::max(from_, end.version_);
-    const auto known = versions_.find(end.id_);
-    if (known == versions_.end() || known->second != end.version_)
-        return; // The endpoint is listed again.
-    versions_.erase(known);
-    changes_.erase({end.version_, end.id_});
+    completeAfter_ = std::max(completeAfter_, removal.version_);
+    const auto entry = latestVersions_.find(removal.id_);
+    if (entry == latestVersions_.end() || entry->second != removal.version_)
+        return; // The endpoint was listed again.
+    latestVersions_.erase(entry);
+    changes_.erase({removal.version_, removal.id_});
 }
 
 std::optional<EndpointRelay> ChangeHistory::after(RowVersion version) const
 {
-    if (from_.isNone() || version < from_ || changes_.empty()
+    if (completeAfter_.isNone() || version < completeAfter_ || changes_.empty()
         || changes_.rbegin()->first.first <= version)
         return std::nullopt;
     EndpointRelay relay;
--- a/src/serving/configuration_exchange.cpp
+++ b/src/serving/configuration_exchange.cpp
@@ -19,20 +19,21 @@
 constexpr std::string_view wantedMethod = "configuration-wanted";
 constexpr std::string_view partMethod = "configuration-part";
 
-/// The store answers within a few milliseconds unless it turns this entry VM away.
-constexpr Duration storeTime = std::chrono::milliseconds(300);
-/// Between two rounds of questions; a text of 60 KB is here by then.
-constexpr Duration askAgain = std::chrono::milliseconds(250);
-/// Peers asked in a round; a third of them may be turned away by the store as well.
-constexpr std::size_t peersAsked = 2;
-
-/// Bytes of text in a datagram; with escapes it stays far below the largest one of 64 KB, and a
-/// text of 60 KB takes 15.
-constexpr std::size_t partBytes = 4000;
-/// Texts beyond 4 MB are refused by the store.
-constexpr std::uint32_t mostParts = 1100;
-/// Missing parts that one question names; if more are missing, all are sent again.
-constexpr std::size_t mostNamed = 200;
+/// Time for a new version to arrive from the store, which responds within a few milliseconds unless
+/// it throttles this entry VM.
+constexpr Duration storeGracePeriod = std::chrono::milliseconds(300);
+/// Time between two rounds of requests; a text of 60 KB arrives within it.
+constexpr Duration requestInterval = std::chrono::milliseconds(250);
+/// More than one, because the store may throttle a third of the peers as well.
+constexpr std::size_t peersPerRound = 2;
+
+/// Text bytes per datagram. With JSON escapes a part stays far below the 64 KB datagram limit; a
+/// text of 60 KB takes 15 parts.
+constexpr std::size_t maxPartBytes = 4000;
+/// Enough for 4 MB of text, the store's limit.
+constexpr std::uint32_t maxParts = 1100;
+/// Missing parts that one request may name; if more are missing, all parts are requested again.
+constexpr std::size_t maxNamedParts = 200;
 
 } // namespace
 
@@ -43,7 +44,7 @@
         missing.emplace_back(part);
     return notification(wantedMethod, json::object{{"address", wanted.address_.text()},
                                                    {"have", wanted.have_.value()},
-                                                   {"arriving", wanted.arriving_.value()},
+                                                   {"arriving", wanted.incomingVersion_.value()},
                                                    {"missing", std::move(missing)}});
 }
 
@@ -70,7 +71,7 @@
     if (missing == nullptr || !missing->is_array())
         return wanted;
     for (const auto &part : missing->get_array()) {
-        if (const auto number = countIn(part); number && *number < mostParts)
+        if (const auto number = countIn(part); number && *number < maxParts)
             wanted.missing_.push_back(static_cast<std::uint32_t>(*number));
     }
     return wanted;
@@ -85,7 +86,7 @@
     part.version_ = ConfigVersion(numberIn(*params, "version"));
     const auto index = numberIn(*params, "part");
     const auto count = numberIn(*params, "parts");
-    if (part.version_.isNone() || count == 0 || count > mostParts || index >= count)
+    if (part.version_.isNone() || count == 0 || count > maxParts || index >= count)
         return std::nullopt;
     part.part_ = static_cast<std::uint32_t>(index);
     part.parts_ = static_cast<std::uint32_t>(count);
@@ -106,7 +107,7 @@
     version_ = version;
     text_ = std::move(text);
     encoded_.clear();
-    if (arriving_ <= version)
+    if (incomingVersion_ <= version)
         parts_.clear();
 }
 
@@ -115,25 +116,25 @@
 {
     if (version <= version_ || peers.empty())
         return;
-    await(version, now);
-    if (now - awaitedSince_ < storeTime || now - askedAt_ < askAgain)
+    noteWanted(version, now);
+    if (now - wantedSince_ < storeGracePeriod || now - requestedAt_ < requestInterval)
         return;
-    askedAt_ = now;
+    requestedAt_ = now;
     log::info(event::configurationAsked,
               {{"has", std::to_string(version_.value())},
                {"wanted", std::to_string(version.value())},
-               {"since-ms", std::to_string(toMilliseconds(now - awaitedSince_))}});
-    for (std::size_t i = 0; i < peersAsked; ++i)
-        ask(peers[random_.below(peers.size())]);
+               {"since-ms", std::to_string(toMilliseconds(now - wantedSince_))}});
+    for (std::size_t i = 0; i < peersPerRound; ++i)
+        sendRequest(peers[random_.below(peers.size())]);
 }
 
-/// The time counts from the first version that was missed: while changes come in series, what is
-/// here grows older all the same.
-void ConfigurationExchange::await(ConfigVersion version, TimePoint now)
+/// Counts from the first missed version, because the local configuration also becomes outdated
+/// while newer versions keep arriving.
+void ConfigurationExchange::noteWanted(ConfigVersion version, TimePoint now)
 {
-    if (awaited_ <= version_)
-        awaitedSince_ = now;
-    awaited_ = std::max(awaited_, version);
+    if (wantedVersion_ <= version_)
+        wantedSince_ = now;
+    wantedVersion_ = std::max(wantedVersion_, version);
 }
 
 Duration ConfigurationExchange::askSource(ConfigVersion version, const Address &source,
@@ -141,29 +142,29 @@
 {
     if (version <= version_)
         return Duration::zero();
-    await(version, now);
-    if (now - askedAt_ >= askAgain) {
-        askedAt_ = now;
-        ask(source);
+    noteWanted(version, now);
+    if (now - requestedAt_ >= requestInterval) {
+        requestedAt_ = now;
+        sendRequest(source);
     }
-    return now - awaitedSince_;
+    return now - wantedSince_;
 }
 
-void ConfigurationExchange::ask(const Address &peer) const
+void ConfigurationExchange::sendRequest(const Address &peer) const
 {
-    ConfigurationRequest wanted{self_, version_, arriving_, {}};
+    ConfigurationRequest wanted{self_, version_, incomingVersion_, {}};
     for (std::uint32_t part = 0; part < parts_.size(); ++part) {
         if (!parts_[part])
             wanted.missing_.push_back(part);
     }
-    if (wanted.missing_.size() > mostNamed)
+    if (wanted.missing_.size() > maxNamedParts)
         wanted.missing_.clear();
     datagrams_.send(peer, encode(wanted));
 }
 
 bool ConfigurationExchange::isWanted(const ConfigurationRequest &wanted, std::uint32_t part) const
 {
-    return wanted.arriving_ != version_ || wanted.missing_.empty()
+    return wanted.incomingVersion_ != version_ || wanted.missing_.empty()
            || std::find(wanted.missing_.begin(), wanted.missing_.end(), part)
                   != wanted.missing_.end();
 }
@@ -175,14 +176,14 @@
         return;
     ConfigurationPart part;
     part.version_ = version_;
-    part.parts_ = static_cast<std::uint32_t>((text_.size() + partBytes - 1) / partBytes);
+    part.parts_ = static_cast<std::uint32_t>((text_.size() + maxPartBytes - 1) / maxPartBytes);
     encoded_.resize(part.parts_);
     for (; part.part_ < part.parts_; ++part.part_) {
         if (!isWanted(wanted, part.part_))
             continue;
         auto &encoded = encoded_[part.part_];
         if (encoded.empty()) {
-            part.text_ = text_.substr(part.part_ * partBytes, partBytes);
+            part.text_ = text_.substr(part.part_ * maxPartBytes, maxPartBytes);
             encoded = encode(part);
         }
         if (!budget.take(encoded.size(), now))
@@ -194,10 +195,10 @@
 std::optional<std::pair<ConfigVersion, std::string>>
 ConfigurationExchange::take(const ConfigurationPart &part)
 {
-    if (part.version_ <= version_ || part.version_ < arriving_)
+    if (part.version_ <= version_ || part.version_ < incomingVersion_)
         return std::nullopt;
-    if (part.version_ != arriving_ || parts_.size() != part.parts_) {
-        arriving_ = part.version_;
+    if (part.version_ != incomingVersion_ || parts_.size() != part.parts_) {
+        incomingVersion_ = part.version_;
         parts_.assign(part.parts_, std::nullopt);
     }
     parts_[part.part_] = part.text_;
@@ -207,7 +208,7 @@
     for (const auto &one : parts_)
         text += *one;
     parts_.clear();
-    arriving_ = {};
+    incomingVersion_ = {};
     return std::pair(part.version_, std::move(text));
 }
 
--- a/src/serving/metered_platform.cpp
+++ b/src/serving/metered_platform.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-constexpr auto storeCalls = "cardamombay_store_calls";
-constexpr auto engineCalls = "cardamombay_engine_calls";
+constexpr auto storeCallsMetric = "cardamombay_store_calls";
+constexpr auto engineCallsMetric = "cardamombay_engine_calls";
 
-/// Seconds; a call takes 4 ms, an outage shows as the time-out of 0.9 s, a watch waits 1.5 s.
-const std::vector<double> buckets{0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5};
+/// A usual call takes 4 ms, a call during an outage ends at its timeout of 0.9 s, and a call for
+/// changes waits up to 1.5 s.
+const std::vector<double> durationBucketsSeconds{0.002, 0.005, 0.01, 0.025, 0.05,
+                                                 0.1,   0.25,  0.5,  1,     2.5};
 
 } // namespace
 
@@ -19,26 +21,26 @@
     , clock_(clock)
     , name_(std::move(name))
     , call_(std::move(call))
-    , seconds_(registry.histogram(name_ + "_seconds", "From a call to its result.", buckets,
-                                  {{"call", call_}}))
+    , duration_(registry.histogram(name_ + "_seconds", "From a call to its result.",
+                                   durationBucketsSeconds, {{"call", call_}}))
 {
 }
 
-void CallMeter::count(const std::string &result, TimePoint since)
+void CallMeter::count(const std::string &result, TimePoint startedAt)
 {
     registry_.counter(name_ + "_total", "Calls by result.", {{"call", call_}, {"result", result}})
         .increment();
-    seconds_.observe(toSeconds(clock_.now() - since));
+    duration_.observe(toSeconds(clock_.now() - startedAt));
 }
 
 MeteredStore::MeteredStore(Clock &clock, platform::TableStore &store, platform::ChangeFeed &feed,
                            metrics::Registry &registry)
     : store_(store)
     , feed_(feed)
-    , commit_(registry, clock, storeCalls, "commit")
-    , read_(registry, clock, storeCalls, "read")
-    , scan_(registry, clock, storeCalls, "scan")
-    , changes_(registry, clock, storeCalls, "changes")
+    , commit_(registry, clock, storeCallsMetric, "commit")
+    , read_(registry, clock, storeCallsMetric, "read")
+    , scan_(registry, clock, storeCallsMetric, "scan")
+    , changes_(registry, clock, storeCallsMetric, "changes")
 {
 }
 
@@ -65,11 +67,11 @@
 
 MeteredOrders::MeteredOrders(Clock &clock, ReplicaOrders &orders, metrics::Registry &registry)
     : orders_(orders)
-    , state_(registry, clock, engineCalls, "state")
+    , state_(registry, clock, engineCallsMetric, "state")
 {
     for (const auto &order : {Order(JoinOrder()), Order(OpenOrder()), Order(CloseOrder()),
                               Order(LeaveOrder()), Order(StageOrder())})
-        byKind_.emplace_back(registry, clock, engineCalls, std::string(nameOf(order)));
+        byKind_.emplace_back(registry, clock, engineCallsMetric, std::string(nameOf(order)));
 }
 
 void MeteredOrders::send(const Endpoint &engine, const Order &order, std::uint64_t fence,
--- a/src/serving/store_watch.cpp
+++ b/src/serving/store_watch.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Pauses after failures; the store's rate is shared by all entry VMs, and what depends on it may
-/// be two seconds late at most.
-constexpr Duration firstPause = std::chrono::milliseconds(100);
-constexpr std::uint32_t mostDoublings = 6;
+/// Exponential retry delay: all entry VMs share the store's request rate, while dependents of the
+/// watch tolerate data up to 2 s late.
+constexpr Duration initialRetryDelay = std::chrono::milliseconds(100);
+constexpr std::uint32_t maxDoublings = 6;
 
-/// Failures in a row that are logged one by one; an outage makes three a second.
-constexpr std::uint32_t mostLogged = 3;
+/// Consecutive failures that are logged; an outage causes three failures a second.
+constexpr std::uint32_t maxLoggedFailures = 3;
 
 } // namespace
 
@@ -44,40 +44,41 @@
 void StoreWatch::setActive(bool isActive)
 {
     isActive_ = isActive;
-    next();
+    resume();
 }
 
 void StoreWatch::catchUp()
 {
-    // After a failure the pause is there for the store's sake.
-    if (!isListed_ || isCalling_ || (isAsking_ && failures_ > 0))
+    // The delay after a failure protects the store, so it is not cut short.
+    if (!isListed_ || isCallPending_ || (isBusy_ && failures_ > 0))
         return;
     clock_.cancel(timer_);
-    ask(Duration::zero());
+    requestChanges(Duration::zero());
 }
 
 void StoreWatch::relist()
 {
-    ++round_;
-    isCalling_ = false;
+    ++generation_;
+    isCallPending_ = false;
     clock_.cancel(timer_);
     timer_ = TimerId::None;
     list();
 }
 
-/// Between two timelines something may be missing that neither reader knows of.
+/// Relayed changes of another timeline are rejected: changes between the two timelines may be
+/// missing without either reader knowing.
 std::optional<RowVersion> StoreWatch::applyRelayed(RowVersion after, RowVersion to,
                                                    RowVersion lastChange)
 {
-    const bool isOfOtherTimeline
+    const bool isOtherTimeline
         = after.timeline() != version_.timeline() || to.timeline() != version_.timeline();
-    if (!isListed_ || isOfOtherTimeline || after > version_ || to <= version_)
+    if (!isListed_ || isOtherTimeline || after > version_ || to <= version_)
         return std::nullopt;
     lastChange_ = std::max(lastChange_, lastChange);
     return std::exchange(version_, to);
 }
 
-void StoreWatch::tell(const platform::RowChange &change)
+void StoreWatch::notifyChange(const platform::RowChange &change)
 {
     lastChange_ = std::max(lastChange_, change.row_.version_);
     listener_.rowChanged(change);
@@ -85,149 +86,151 @@
 
 void StoreWatch::list()
 {
-    isAsking_ = true;
-    listFrom({}, {}, clock_.now(), {});
+    isBusy_ = true;
+    listPage({}, {}, clock_.now(), {});
 }
 
-void StoreWatch::listFrom(std::vector<platform::Row> rows, std::string after, TimePoint since,
+void StoreWatch::listPage(std::vector<platform::Row> rows, std::string after, TimePoint startedAt,
                           RowVersion version)
 {
     platform::Scan scan;
     scan.table_ = settings_.table_;
     scan.after_ = std::move(after);
-    store_.scan(scan,
-                [this, alive = std::weak_ptr(isAlive_), round = round_, rows = std::move(rows),
-                 since, version](Result<platform::ScanPage> result) mutable {
-                    if (alive.expired() || round != round_)
-                        return;
-                    if (!isOk(result)) {
-                        failed(errorOf(result));
-                        return;
-                    }
-                    auto &page = valueOf(result);
-                    // The first page's version: what changed between two pages is told again by the
-                    // feed.
-                    if (version.isNone())
-                        version = page.storeVersion_;
-                    if (page.storeVersion_.timeline() != version.timeline()) {
-                        list(); // The store was restored between two pages.
-                        return;
-                    }
-                    std::move(page.rows_.begin(), page.rows_.end(), std::back_inserter(rows));
-                    if (page.isLast_ || rows.empty()) {
-                        listed(rows, version, since);
-                        return;
-                    }
-                    auto last = rows.back().key_.key_;
-                    listFrom(std::move(rows), std::move(last), since, version);
-                });
-}
-
-void StoreWatch::listed(const std::vector<platform::Row> &rows, RowVersion version, TimePoint since)
+    store_.scan(scan, [this, alive = std::weak_ptr(isAlive_), generation = generation_,
+                       rows = std::move(rows), startedAt,
+                       version](Result<platform::ScanPage> result) mutable {
+        if (alive.expired() || generation != generation_)
+            return;
+        if (!isOk(result)) {
+            onFailure(errorOf(result));
+            return;
+        }
+        auto &page = valueOf(result);
+        // Uses the first page's version: the feed then repeats changes made between
+        // two pages.
+        if (version.isNone())
+            version = page.storeVersion_;
+        if (page.storeVersion_.timeline() != version.timeline()) {
+            list(); // The store was restored between two pages.
+            return;
+        }
+        std::move(page.rows_.begin(), page.rows_.end(), std::back_inserter(rows));
+        if (page.isLast_ || rows.empty()) {
+            onListed(rows, version, startedAt);
+            return;
+        }
+        auto last = rows.back().key_.key_;
+        listPage(std::move(rows), std::move(last), startedAt, version);
+    });
+}
+
+void StoreWatch::onListed(const std::vector<platform::Row> &rows, RowVersion version,
+                          TimePoint startedAt)
 {
     version_ = version;
     for (const auto &row : rows)
         lastChange_ = std::max(lastChange_, row.version_);
     isListed_ = true;
-    reachable(true);
+    setReachable(true);
     listener_.tableListed(settings_.table_, rows);
-    confirmed(since);
-    isAsking_ = false;
-    next();
+    confirm(startedAt);
+    isBusy_ = false;
+    resume();
 }
 
-void StoreWatch::confirmed(TimePoint asOf)
+void StoreWatch::confirm(TimePoint asOf)
 {
     confirmedAt_ = std::max(confirmedAt_, asOf);
     listener_.tableConfirmed(settings_.table_, asOf);
 }
 
-void StoreWatch::next()
+void StoreWatch::resume()
 {
-    if (isActive_ && !isAsking_ && isListed_)
-        wait();
+    if (isActive_ && !isBusy_ && isListed_)
+        waitForChanges();
 }
 
-/// An answer with changes confirms the table only as of its call, so the next call waits no longer
-/// than until the next confirmation is due. Otherwise nobody could tell a watch that hears nothing
-/// from a store that has nothing to say.
+/// A response with changes confirms the table only as of the time of its call, so the next call
+/// waits no longer than until the next confirmation is due. Otherwise a store without changes could
+/// not be told from one that does not respond.
 Duration StoreWatch::remainingWait() const
 {
     return std::clamp<Duration>(confirmedAt_ + settings_.wait_ - clock_.now(), Duration::zero(),
                                 settings_.wait_);
 }
 
-void StoreWatch::wait()
+void StoreWatch::waitForChanges()
 {
-    ask(remainingWait());
+    requestChanges(remainingWait());
 }
 
-void StoreWatch::ask(Duration wait)
+void StoreWatch::requestChanges(Duration wait)
 {
-    isAsking_ = true;
-    isCalling_ = true;
-    const auto since = clock_.now();
+    isBusy_ = true;
+    isCallPending_ = true;
+    const auto startedAt = clock_.now();
     feed_.changes({settings_.table_, version_, wait},
-                  [this, alive = std::weak_ptr(isAlive_), round = round_, since,
+                  [this, alive = std::weak_ptr(isAlive_), generation = generation_, startedAt,
                    wait](const Result<platform::ChangePage> &result) {
-                      if (alive.expired() || round != round_)
+                      if (alive.expired() || generation != generation_)
                           return;
-                      isCalling_ = false;
+                      isCallPending_ = false;
                       if (isOk(result))
-                          changed(valueOf(result), since, wait);
+                          onChanges(valueOf(result), startedAt, wait);
                       else if (isError<NotFound>(result))
                           list();
                       else
-                          failed(errorOf(result));
+                          onFailure(errorOf(result));
                   });
 }
 
-/// An answer without changes is given when the wait is over, not before; it shows the table as of
-/// then. One that is full shows an earlier state; a watch that paused after it would fall behind.
-void StoreWatch::changed(const platform::ChangePage &page, TimePoint since, Duration wait)
+/// A response without changes is sent at the end of the wait and confirms the table as of then. A
+/// full page shows an earlier state; a watch that paused after it would fall behind, so it requests
+/// the next page immediately.
+void StoreWatch::onChanges(const platform::ChangePage &page, TimePoint startedAt, Duration wait)
 {
-    reachable(true);
+    setReachable(true);
     const auto before = version_;
     for (const auto &change : page.changes_) {
-        // What was passed on meanwhile is newer.
+        // Skips changes already superseded by relayed ones.
         if (change.row_.version_ > before)
-            tell(change);
+            notifyChange(change);
     }
     version_ = std::max(version_, page.version_);
     if (!page.changes_.empty())
         listener_.changesArrived(settings_.table_, before, version_);
     if (!page.isLast_) {
-        ask(Duration::zero());
+        requestChanges(Duration::zero());
         return;
     }
-    const bool isWaitOver = page.changes_.empty() && clock_.now() - since >= wait;
-    confirmed(isWaitOver ? since + wait : since);
-    isAsking_ = false;
+    const bool isWaitOver = page.changes_.empty() && clock_.now() - startedAt >= wait;
+    confirm(isWaitOver ? startedAt + wait : startedAt);
+    isBusy_ = false;
     const auto pause = std::min(settings_.pause_, remainingWait());
     if (page.changes_.empty() || pause == Duration::zero()) {
-        next();
+        resume();
         return;
     }
-    isAsking_ = true;
-    later(pause, &StoreWatch::wait);
+    isBusy_ = true;
+    scheduleStep(pause, &StoreWatch::waitForChanges);
 }
 
-void StoreWatch::failed(const Error &error)
+void StoreWatch::onFailure(const Error &error)
 {
-    if (++failures_ <= mostLogged)
+    if (++failures_ <= maxLoggedFailures)
         log::info(event::storeCallFailed, {{"table", settings_.table_},
                                            {"kind", std::string(kindOf(error))},
                                            {"problem", messageOf(error)},
                                            {"failures", std::to_string(failures_)}});
-    // A single failure is no outage: connections are cut now and then.
+    // A single failure is not an outage: connections are dropped occasionally.
     if (failures_ > 1)
-        reachable(false);
-    const auto doubled = firstPause * (1U << std::min(failures_ - 1, mostDoublings));
-    later(std::min<Duration>(doubled, settings_.maxRetryDelay_),
-          isListed_ ? &StoreWatch::wait : &StoreWatch::list);
+        setReachable(false);
+    const auto delay = initialRetryDelay * (1U << std::min(failures_ - 1, maxDoublings));
+    scheduleStep(std::min<Duration>(delay, settings_.maxRetryDelay_),
+                 isListed_ ? &StoreWatch::waitForChanges : &StoreWatch::list);
 }
 
-void StoreWatch::reachable(bool isReachable)
+void StoreWatch::setReachable(bool isReachable)
 {
     if (isReachable)
         failures_ = 0;
@@ -235,11 +238,11 @@
         listener_.storeReachable(settings_.table_, isReachable);
 }
 
-void StoreWatch::later(Duration pause, void (StoreWatch::*step)())
+void StoreWatch::scheduleStep(Duration pause, void (StoreWatch::*step)())
 {
     timer_ = clock_.schedule(pause, [this, step] {
         timer_ = TimerId::None;
-        isAsking_ = false;
+        isBusy_ = false;
         if (isActive_ || !isListed_)
             (this->*step)();
     });
