--- a/tests/adapter/formats.cpp
+++ b/tests/adapter/formats.cpp
@@ -1,4 +1,4 @@
-// What the adapter reads from configurations, entries and header fields, and what it writes.
+// Decoding of configurations, endpoint entries and header fields, and encoding of header fields.
 #include <platform/dialect.hpp>
 #include <platform/store_format.hpp>
 
@@ -131,8 +131,7 @@
 
 namespace {
 
-/// A whole entry of an engine, with \p field set to the JSON \p value, or left out if that is
-/// empty.
+/// A valid engine entry with \p field set to the JSON \p value, or omitted if \p value is empty.
 std::string entryWith(const std::string &field, const std::string &value)
 {
     const std::vector<std::pair<std::string, std::string>> whole{
--- a/tests/adapter/store_client.cpp
+++ b/tests/adapter/store_client.cpp
@@ -1,4 +1,4 @@
-// The platform's store through the adapter, against answers written by hand.
+// StoreClient and EngineOrders against handwritten HTTP responses.
 #include <platform/engine_orders.hpp>
 #include <platform/store_client.hpp>
 
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Answers each request with the next result that was prepared.
+/// Completes each request with the result that the test has set.
 class FakeClient final : public net::HttpClient
 {
 public:
@@ -35,7 +35,7 @@
         client_.result_ = net::HttpResponse{status, {}, std::move(body)};
     }
 
-    /// The same in an answer that names \p timeline, or none if that is empty.
+    /// Sets a response whose timeline field is \p timeline.
     void answer(std::uint32_t status, std::string body, const std::string &timeline)
     {
         client_.result_ = net::HttpResponse{status, {{"Store-Era", timeline}}, std::move(body)};
@@ -164,8 +164,8 @@
     cr_assert(bench.client_.requests_.back().target_.find("After=12&") != std::string::npos);
 }
 
-/// A restored store may take its time over a version that it has not reached again, or tell of
-/// other changes under the same numbers.
+/// For a version that it has not reached again, a restored store may not respond before the wait
+/// ends, or may return other changes with the same version numbers.
 Test(store_client, feed_from_before_a_restore_is_lost_history_and_does_not_wait)
 {
     Bench bench;
@@ -179,14 +179,15 @@
 {
     Bench bench;
     const auto expected = RowVersion::at(StoreTimeline(1), 4);
-    // It is met by chance, and the answer is the first to tell of the restore.
+    // The reused version number meets the condition, and this response is the first to name the
+    // new timeline.
     bench.answer(200, R"({"Ver":5})", "2");
     cr_assert(isError<StoreConflict>(bench.commit(expected)));
-    // Known before it is sent: a version is named that no row has.
+    // Once the new timeline is known, the request names a version that no row has.
     bench.answer(412, R"({"Rows":[],"Ver":5})", "2");
     cr_assert(isError<StoreConflict>(bench.commit(expected)));
     cr_assert(bench.client_.requests_.back().body_.find("\"Ver\":4}") == std::string::npos);
-    // That a row must not exist holds on any timeline.
+    // The condition that a row must not exist is valid on any timeline.
     bench.answer(200, R"({"Ver":6})", "2");
     cr_assert(isOk(bench.commit(RowVersion())));
 }
--- a/tests/restored_store/regressions.cpp
+++ b/tests/restored_store/regressions.cpp
@@ -1,8 +1,9 @@
-// The platform's store comes back from a backup that is some seconds old: versions go back and are
-// given out again, and what was acknowledged since is gone. Whole control sides on a paused clock.
+// The platform's store is restored from a backup that is some seconds old: versions decrease and
+// are reused, and writes acknowledged since the backup are lost. Runs complete control planes on a
+// simulated clock.
 //
-// None of this was seen by callers. Each case was read off the code, in which versions of the store
-// only rose, and failed before versions carried the timeline that they belong to.
+// The cases guard against code that assumes that store versions only increase. They failed before
+// versions carried their timeline; the failures were found by code review, not reported by callers.
 #include "support/node_fleet.hpp"
 
 #include <algorithm>
@@ -19,7 +20,7 @@
 namespace {
 
 constexpr Duration step = milliseconds(10);
-/// Operators, engines and the product have written again what was lost by then.
+/// Time after which operators, engines and the product have rewritten the lost rows.
 constexpr Duration writtenAgain = milliseconds(1700);
 
 struct RestoredFleet
@@ -57,7 +58,7 @@
         return true;
     }
 
-    /// Advances the clock; \p holds is checked all the while.
+    /// Advances the clock and checks \p holds after each step.
     template<typename Check>
     void pass(Duration time, Check holds, const char *what)
     {
@@ -90,10 +91,11 @@
     cr_assert(bench.isUnused("e0"));
     bench.fleet_.platform_.restore(backup);
     bench.pass(
-        writtenAgain, [&] { return bench.isUnused("e0"); }, "leaving is forgotten");
+        writtenAgain, [&] { return bench.isUnused("e0"); }, "a draining endpoint is used again");
     bench.fleet_.drain("e0");
     bench.pass(
-        seconds(6), [&] { return bench.isUnused("e0"); }, "leaving is forgotten later");
+        seconds(6), [&] { return bench.isUnused("e0"); },
+        "a draining endpoint is used again after its entry was rewritten");
 }
 
 Test(restored_store, endpoint_that_had_ended_is_not_used_until_its_entry_in_the_copy_lapses)
@@ -104,10 +106,12 @@
     bench.fleet_.pass(seconds(2));
     bench.fleet_.platform_.restore(backup);
     bench.pass(
-        milliseconds(4000), [&] { return bench.isUnused("e0"); }, "the end is forgotten");
+        milliseconds(4000), [&] { return bench.isUnused("e0"); },
+        "a removed endpoint is used again");
     bench.fleet_.list("e0", "");
     bench.pass(
-        seconds(4), [&] { return bench.isUnused("e0"); }, "the end is forgotten later");
+        seconds(4), [&] { return bench.isUnused("e0"); },
+        "a removed endpoint is used again after its entry was rewritten");
 }
 
 Test(restored_store, endpoint_that_the_copy_lacks_is_used_until_it_is_written_again)
@@ -122,7 +126,8 @@
         writtenAgain, [&] { return bench.isUsed("new"); }, "a live endpoint is dropped");
     bench.fleet_.list("new", "d");
     bench.pass(
-        seconds(6), [&] { return bench.isUsed("new"); }, "a live endpoint is dropped later");
+        seconds(6), [&] { return bench.isUsed("new"); },
+        "a live endpoint is dropped after its entry was rewritten");
 }
 
 Test(restored_store, endpoint_that_the_copy_lacks_and_nobody_writes_again_is_gone)
@@ -136,7 +141,7 @@
     cr_assert(bench.isUnused("dead"));
 }
 
-/// The numbers of versions are below those that entry VMs have taken already.
+/// New version numbers are below those that entry VMs have already processed.
 Test(restored_store, changes_after_a_restore_are_known_as_soon_as_others)
 {
     RestoredFleet bench;
@@ -153,8 +158,8 @@
     cr_assert_lt(bench.fleet_.clock_.now() - leftAt, seconds(2));
 }
 
-/// A configuration that was acknowledged and lost may have taken any key away. Until operators have
-/// had the time to write it again, nothing that the store says confirms the present one.
+/// An acknowledged but lost configuration may have revoked any key. Until operators have had time
+/// to rewrite it, no response of the store may confirm the present configuration.
 Test(restored_store, configuration_is_neither_taken_back_nor_confirmed_by_the_copy)
 {
     RestoredFleet bench;
@@ -175,15 +180,16 @@
             }
             return true;
         },
-        "the configuration is taken back or confirmed");
+        "the configuration is reverted or confirmed");
     bench.fleet_.configure(2, {"new"});
     bench.fleet_.pass(seconds(2));
     for (std::size_t i = 0; i < bench.fleet_.size(); ++i)
         cr_assert(bench.fleet_.node(i).honours("new"), "node %zu", i);
 }
 
-/// A planner from before the copy and one after it must not both be obeyed: its lease ends, the
-/// next one begins when it would have lapsed, and its epoch is above all that engines have seen.
+/// Engines must never obey a planner from before the restore and one from after it at the same
+/// time: the old lease ends, the next one begins no earlier than the old one would have expired,
+/// and its epoch is above all epochs that engines have seen.
 Test(restored_store, lease_that_the_copy_lacks_ends_and_the_next_epoch_is_higher)
 {
     for (const int age : {1, 3}) {
@@ -202,7 +208,7 @@
         const auto before = second->lease_->epoch();
         bench.fleet_.platform_.restore(backup);
         bench.pass(
-            seconds(8), [&] { return bench.holders() <= 1; }, "two planners");
+            seconds(8), [&] { return bench.holders() <= 1; }, "two planners hold the lease");
         auto *third = bench.fleet_.planner();
         cr_assert_not_null(third);
         cr_assert_gt(third->lease_->epoch(), before);
@@ -254,8 +260,8 @@
     }
 }
 
-/// One peer's digests name a version that the store has never had, on this timeline or on one that
-/// is far ahead. It costs neither calls without end nor what is known.
+/// One peer's digests name a version that the store has never had, on this timeline or on a much
+/// later one. This must cause neither endless store calls nor the loss of known state.
 Test(restored_store, absurd_version_of_a_peer_is_not_chased)
 {
     for (const auto *absurd : {"1099511627000", "9007199254740000"}) {
@@ -264,7 +270,7 @@
         auto before = bench.fleet_.storeCalls();
         bench.fleet_.pass(seconds(5));
         const auto usual = bench.fleet_.storeCalls() - before;
-        std::string liar; // The first one that tells of the store.
+        std::string liar; // The first sender of a digest with a store version.
         std::size_t lies = 0;
         bench.fleet_.spoils_ = [&, absurd](std::string &text) {
             const std::string mark = "\"endpoints\":";
@@ -287,7 +293,7 @@
         const auto spoiled = bench.fleet_.storeCalls() - before;
         std::printf("calls of seven entry VMs in 5 s: %zu, %zu with an absurd version of one\n",
                     usual, spoiled);
-        // No process spins: five calls a second of each are far from a call for each digest.
+        // At most five calls a second per entry VM, far fewer than one per digest.
         cr_expect_lt(spoiled, 5 * 5 * bench.fleet_.size(), "%s", absurd);
         cr_expect_gt(lies, 0);
         cr_expect(bench.isUsed("e0"), "%s", absurd);
@@ -295,7 +301,7 @@
     }
 }
 
-/// Restores that come twice within a second, beside entry VMs that are cut off and see them late.
+/// Two restores within a second, while one entry VM cannot reach the store and sees them late.
 Test(restored_store, leavings_stand_through_restores_that_come_twice_and_are_seen_late)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -315,10 +321,10 @@
         bench.fleet_.platform_.restore(backup);
         bench.pass(writtenAgain, isLeft, "after the second restore");
         bench.fleet_.drain("e0");
-        bench.pass(seconds(1), isLeft, "written again");
+        bench.pass(seconds(1), isLeft, "after the rows were rewritten");
         late.store_.isCutOff_ = false;
         bench.fleet_.list("e1", "");
-        bench.pass(seconds(6), isLeft, "all reach the store");
+        bench.pass(seconds(6), isLeft, "after all entry VMs reach the store");
         cr_assert_eq(bench.holders(), 1, "seed %llu", static_cast<unsigned long long>(seed));
     }
 }
--- a/tests/serving/configuration_exchange.cpp
+++ b/tests/serving/configuration_exchange.cpp
@@ -1,4 +1,4 @@
-// How a configuration reaches entry VMs that the store turns away.
+// Configuration transfer between peers, for entry VMs that the store throttles.
 #include <cardamombay/serving/configuration_exchange.hpp>
 
 #include <algorithm>
--- a/tests/serving/metered_platform.cpp
+++ b/tests/serving/metered_platform.cpp
@@ -1,4 +1,4 @@
-// Calls are counted by kind and result, and passed on unchanged.
+// The metered decorators count calls by kind and result and forward them unchanged.
 #include "support/fake_store.hpp"
 
 #include <cardamombay/core/manual_clock.hpp>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Answers each call at once with what the test has set.
+/// Completes each call immediately with a fixed result.
 struct Store final : public platform::TableStore, public platform::ChangeFeed
 {
     void commit(platform::Transaction, Callback<platform::CommitReceipt> done) override
--- a/tests/serving/store_watch.cpp
+++ b/tests/serving/store_watch.cpp
@@ -1,4 +1,4 @@
-// Copies of tables: listed, followed, passed on by others, and kept through outages.
+// StoreWatch: listing, following changes, relayed changes, and outages.
 #include <cardamombay/core/manual_clock.hpp>
 #include <cardamombay/serving/store_watch.hpp>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A store whose calls wait until the test answers them.
+/// Queues calls until the test completes them.
 class FakeStore final : public platform::TableStore, public platform::ChangeFeed
 {
 public:
@@ -224,7 +224,7 @@
     cr_assert(bench.store_.queries_.empty());
     bench.watch_.catchUp();
     cr_assert_eq(bench.store_.queries_.size(), 1);
-    // Not while a call is under way.
+    // No second call while one is in flight.
     bench.watch_.catchUp();
     cr_assert_eq(bench.store_.queries_.size(), 1);
     bench.answer(platform::ChangePage{{}, RowVersion(11)});
--- a/tests/serving/tables.cpp
+++ b/tests/serving/tables.cpp
@@ -1,4 +1,4 @@
-// Lookups and small state: routes, endpoints, load, digests, settings.
+// Route table, endpoint book, load board, peer digests, engine model and gateway settings.
 #include "support/gateway_fixture.hpp"
 
 #include <cardamombay/serving/engine_model.hpp>
--- a/tests/support/fleet_platform_deployment.cpp
+++ b/tests/support/fleet_platform_deployment.cpp
@@ -111,14 +111,15 @@
         return true;
     });
     if (!serves)
-        throw std::runtime_error("the gateways do not serve: " + harness_.output(gateways_[0]));
+        throw std::runtime_error("the gateways did not start serving: "
+                                 + harness_.output(gateways_[0]));
 }
 
 void Deployment::openLinks(Links links)
 {
     proxy_ = harness_.waitForPort(harness_.start("links", harness_.program("fault_proxy"), {}));
     for (std::size_t number = 0; number < gatewayCount; ++number)
-        storeLinks_.push_back(openLink(store_));
+        storeLinkPorts_.push_back(openLink(store_));
     if (links == Links::Store)
         return;
     for (const auto &[id, port] : report().ports_)
@@ -139,7 +140,7 @@
     const auto path = "/test/links/" + std::to_string(link) + "/" + action;
     const auto result = support::Caller({"127.0.0.1", proxy_}).post(path, body);
     if (result.status_ != 200)
-        throw std::runtime_error("the proxy did not take " + path + ": " + result.body_);
+        throw std::runtime_error("the fault proxy rejected " + path + ": " + result.body_);
 }
 
 support::ProcessId Deployment::startGateway(std::size_t number)
@@ -155,7 +156,7 @@
             + addressText(ports.callers_) + "readiness = " + addressText(ports.readiness_)
             + "metrics = " + addressText(ports.metrics_)
             + "digests = " + addressText(ports.digests_) + "[store]\naddress = "
-            + addressText(storeLinks_.empty() ? store_ : storeLinks_.at(number))
+            + addressText(storeLinkPorts_.empty() ? store_ : storeLinkPorts_.at(number))
             + "[bounds]\nstop_within = \"8s\"\nrevoke_within = \"5s\"\nretry_share = 0.2\n"
               "retry_window = \"10s\"\nretry_reserve = 130\n");
     return harness_.start(name, harness_.program("cardamombay-gateway"), {"--settings", settings});
@@ -201,7 +202,7 @@
 {
     const auto result = support::Caller({"127.0.0.1", store_}).post("/test/" + what, body);
     if (result.status_ != 200)
-        throw std::runtime_error("the stand-in did not take " + what);
+        throw std::runtime_error("the platform stand-in rejected " + what);
 }
 
 EngineReport Deployment::report() const
--- a/tests/support/fleet_platform_deployment.hpp
+++ b/tests/support/fleet_platform_deployment.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief The users' platform as a stand-in, with real gateways before it.
+/// \brief Real gateways in front of a test double of the users' platform.
 #pragma once
 
 #include "support/caller.hpp"
@@ -12,53 +12,55 @@
 
 namespace cardamombay::test {
 
-/// \brief What the stand-in's engines saw.
+/// \brief Observations of the test double's engines.
 struct EngineReport
 {
-    std::vector<std::pair<std::string, int>> runs_; ///< Starts by request id.
+    std::vector<std::pair<std::string, int>> runs_; ///< Execution starts by request id.
     std::vector<std::string> violations_;
-    std::vector<std::pair<std::string, int>> ports_; ///< Endpoints' own ports by id.
-    /// When requests arrived by endpoint, since it named its limit; milliseconds.
+    std::vector<std::pair<std::string, int>> ports_; ///< Actual ports by endpoint id.
+    /// Arrival times of requests by endpoint in milliseconds, since its last limit, cooldown or
+    /// leaving command.
     std::map<std::string, std::vector<std::int64_t>> arrivals_;
-    int crashes_ = 0; ///< Endpoints that ended under a poison pill.
+    int crashes_ = 0; ///< Endpoint crashes caused by poison-pill requests.
 };
 
-/// \brief What is behind a proxy. One hides from its callers that an endpoint's port is closed.
+/// \brief Which connections pass through a fault proxy. The proxy accepts connections even if the
+/// endpoint's port is closed.
 enum class Links { None, Store, StoreAndEndpoints };
 
-/// \brief Three gateways before 12 engines in two fabric domains and two plain endpoints.
+/// \brief Three gateways in front of 12 engines in two fabric domains and two plain endpoints.
 class Deployment
 {
 public:
-    /// \brief Starts all and waits until every gateway is ready and serves both models.
-    /// \param links what the gateways reach through a proxy that spoils what passes as told.
+    /// \brief Starts all processes and waits until every gateway is ready and serves both models.
+    /// \param links connections of the gateways that pass through the fault proxy.
     explicit Deployment(Links links = Links::None);
 
-    /// \name Callers
+    /// \name Caller requests
     /// \{
-    /// \brief A completion in 20 events, by the stream route.
+    /// \brief Requests a completion of 20 events through the stream route.
     load::CallResult stream(std::size_t gateway, const std::string &id,
                             const std::string &model = "m", const std::string &key = "key-a",
                             const std::string &path = "/stream/7") const;
-    /// \brief A call to the plain service.
+    /// \brief Sends a request to the plain service.
     load::CallResult call(std::size_t gateway, const std::string &path, const std::string &id,
                           const std::string &key = "key-a") const;
     /// \}
 
-    /// \name What others do
+    /// \name Platform control
     /// \{
-    /// \brief Puts a configuration in force; \p extraRoute is served by the plain service if set.
+    /// \brief Publishes a configuration. \p extraRoute, if set, leads to the plain service.
     void configure(int version, const std::string &extraRoute = {}, bool hasKeyA = true) const;
-    /// \brief Tells the stand-in something, such as "silence/e-0-1".
+    /// \brief Sends a command such as "silence/e-0-1" to the platform's test double.
     void tell(const std::string &what, const std::string &body = {}) const;
     [[nodiscard]] EngineReport report() const;
     support::ProcessId startGateway(std::size_t number);
     /// \}
 
-    /// \name Links, if there are any: one of each gateway to the store, one to each endpoint
+    /// \name Proxied links: one from each gateway to the store, then one to each endpoint
     /// \{
     [[nodiscard]] std::size_t linkCount() const { return linkCount_; }
-    /// \brief Tells the fault_proxy program something of a link, such as "faults".
+    /// \brief Sends an action such as "faults" or "cut" for a link to the fault_proxy program.
     void controlLink(std::size_t link, const std::string &action,
                      const std::string &body = {}) const;
     /// \}
@@ -69,7 +71,7 @@
     {
         return gateways_.at(number);
     }
-    /// \brief Log lines of a gateway that hold \p text.
+    /// \brief Log lines of a gateway that contain \p text.
     [[nodiscard]] std::vector<std::string> logLinesContaining(std::size_t gateway,
                                                               const std::string &text) const;
 
@@ -91,12 +93,12 @@
     std::uint16_t store_ = 0;
     std::uint16_t proxy_ = 0;
     std::size_t linkCount_ = 0;
-    std::vector<std::uint16_t> storeLinks_; ///< By gateway; empty without links.
+    std::vector<std::uint16_t> storeLinkPorts_; ///< Proxy port by gateway; empty without links.
     std::vector<Ports> ports_;
     std::vector<support::ProcessId> gateways_;
 };
 
-/// \brief Events of a stream; nothing if they do not rise by one from 1.
+/// \brief Number of events in a stream; 0 unless their ids count up from 1 without a gap.
 [[nodiscard]] std::size_t countSequentialEvents(const std::string &body);
 
 } // namespace cardamombay::test
--- a/tests/support/group_engine_standin.cpp
+++ b/tests/support/group_engine_standin.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-constexpr auto loadTime = std::chrono::milliseconds(150);
-constexpr auto warmTime = std::chrono::milliseconds(20);
+constexpr auto coldLoadTime = std::chrono::milliseconds(150);
+constexpr auto warmLoadTime = std::chrono::milliseconds(20);
 constexpr auto openTime = std::chrono::milliseconds(20);
-constexpr auto eventPause = std::chrono::milliseconds(20);
-constexpr auto plainTime = std::chrono::milliseconds(20);
-constexpr auto downTime = std::chrono::milliseconds(1500);
-constexpr int eventsOfStream = 20;
+constexpr auto eventInterval = std::chrono::milliseconds(20);
+constexpr auto plainServiceTime = std::chrono::milliseconds(20);
+constexpr auto restartDelay = std::chrono::milliseconds(1500);
+constexpr int eventsPerStream = 20;
 
-/// Three for each gateway that may run within one need, those that start again included.
-constexpr std::size_t mostRefusals = 24;
+/// Three for each gateway that may run within one refusal period, including restarted gateways.
+constexpr std::size_t maxRefusals = 24;
 
 StandinResponse refusal(unsigned status, const std::string &id)
 {
@@ -45,10 +45,10 @@
 
 } // namespace
 
-GroupEngineStandin::GroupEngineStandin(asio::io_context &context, EngineHall &hall, std::string id,
-                                       std::string service, std::string domain)
+GroupEngineStandin::GroupEngineStandin(asio::io_context &context, EngineRegistry &registry,
+                                       std::string id, std::string service, std::string domain)
     : context_(context)
-    , hall_(hall)
+    , registry_(registry)
     , id_(std::move(id))
     , service_(std::move(service))
     , domain_(std::move(domain))
@@ -58,7 +58,7 @@
 
 std::string GroupEngineStandin::state() const
 {
-    const auto listed = listedPort_ == 0 ? port() : listedPort_;
+    const auto listed = registeredPort_ == 0 ? port() : registeredPort_;
     json::object entry{{"Service", service_}, {"Address", "127.0.0.1:" + std::to_string(listed)},
                        {"Zone", "z"},         {"Slots", 8},
                        {"born", bornAt_},     {"State", isDraining_ ? "draining" : "ready"}};
@@ -75,41 +75,42 @@
     return json::serialize(entry);
 }
 
-void GroupEngineStandin::list()
+void GroupEngineStandin::registerEntry()
 {
-    hall_.store_.put("servers", id_, state());
+    registry_.store_.put("servers", id_, state());
 }
 
-void GroupEngineStandin::listAt(std::uint16_t port)
+void GroupEngineStandin::registerAt(std::uint16_t port)
 {
-    listedPort_ = port;
-    list();
+    registeredPort_ = port;
+    registerEntry();
 }
 
-void GroupEngineStandin::limit(std::string perSecond)
+void GroupEngineStandin::setRateLimit(std::string perSecond)
 {
     limit_ = std::move(perSecond);
     arrivals_.clear();
 }
 
-void GroupEngineStandin::name(StandinResponse &response) const
+void GroupEngineStandin::addEndpointFields(StandinResponse &response) const
 {
     if (!limit_.empty())
         response.set("Server-Limit", limit_);
-    if (isDraining_ || saysLeaving_)
+    if (isDraining_ || announcesLeaving_)
         response.set("Server-Leaving", "1");
 }
 
-void GroupEngineStandin::refuseFor(std::chrono::milliseconds need, std::string cooldown)
+void GroupEngineStandin::startCooldown(std::chrono::milliseconds refusalPeriod,
+                                       std::string cooldown)
 {
-    refusesUntil_ = std::chrono::steady_clock::now() + need;
+    refusesUntil_ = std::chrono::steady_clock::now() + refusalPeriod;
     cooldown_ = std::move(cooldown);
     arrivals_.clear();
 }
 
-void GroupEngineStandin::sayLeaving()
+void GroupEngineStandin::announceLeaving()
 {
-    saysLeaving_ = true;
+    announcesLeaving_ = true;
     arrivals_.clear();
 }
 
@@ -121,23 +122,23 @@
 asio::awaitable<void> GroupEngineStandin::refuse(StandinExchange &exchange)
 {
     arrivals_.push_back(std::chrono::steady_clock::now());
-    if (arrivals_.size() == mostRefusals)
-        hall_.violations_.push_back(id_ + " got too much while it asked for a pause");
+    if (arrivals_.size() == maxRefusals)
+        registry_.violations_.push_back(id_ + " received too many requests during its cooldown");
     auto response = refusal(503, id_);
     response.set("Retry-After", cooldown_);
-    name(response);
+    addEndpointFields(response);
     co_await exchange.respond(std::move(response));
 }
 
 void GroupEngineStandin::drain()
 {
     isDraining_ = true;
-    list();
+    registerEntry();
 }
 
 asio::awaitable<void> GroupEngineStandin::handle(StandinExchange &exchange)
 {
-    // A silent engine keeps its connections and answers nothing.
+    // A silent engine keeps its connections open but never responds.
     while (isSilent_)
         co_await pauseFor(std::chrono::milliseconds(50));
     const auto expected = headerOf(exchange.request(), "X-Expect-Instance");
@@ -169,26 +170,26 @@
                                   exchange.request().target().size());
     const bool isOpen = !group_ || (group_->state_ == "open" && group_->rank_ == 0);
     if (target.ends_with("/pill") && isOpen) {
-        co_await pauseFor(eventPause);
+        co_await pauseFor(eventInterval);
         exchange.drop();
         crash();
         co_return;
     }
     if (!headerOf(exchange.request(), "Authorization").empty())
-        hall_.violations_.push_back("the key reached " + id_);
+        registry_.violations_.push_back("the API key reached " + id_);
     arrivals_.push_back(std::chrono::steady_clock::now());
     if (domain_.empty()) {
-        ++hall_.runs_[request];
-        co_await pauseFor(plainTime);
+        ++registry_.runs_[request];
+        co_await pauseFor(plainServiceTime);
         auto response = jsonResponse(200, headerOf(exchange.request(), "X-Tenant"));
         response.set("X-Response-Seal", id_);
-        name(response);
+        addEndpointFields(response);
         co_await exchange.respond(std::move(response));
         co_return;
     }
     if (!group_ || group_->state_ != "open" || group_->rank_ != 0) {
         auto response = refusal(503, id_);
-        name(response);
+        addEndpointFields(response);
         co_await exchange.respond(std::move(response));
         co_return;
     }
@@ -204,26 +205,27 @@
     head.set("Content-Type", "text/event-stream");
     head.set("X-Request-Id", request);
     head.set("X-Response-Seal", id_);
-    name(head);
+    addEndpointFields(head);
     const auto epoch = group_->epoch_;
     bool hasBegun = false;
-    for (int event = first; event <= eventsOfStream; ++event) {
+    for (int event = first; event <= eventsPerStream; ++event) {
         while (isStalled())
-            co_await pauseFor(eventPause);
+            co_await pauseFor(eventInterval);
         if (!group_ || group_->epoch_ != epoch) {
             exchange.drop();
             co_return;
         }
         if (!hasBegun) {
-            ++hall_.runs_[request];
+            ++registry_.runs_[request];
             if (!isWhole())
-                hall_.violations_.push_back("a request began in an incomplete group at " + id_);
+                registry_.violations_.push_back("a request started in an incomplete group at "
+                                                + id_);
             co_await exchange.startStream(head);
             hasBegun = true;
         }
         std::string text = "id: " + std::to_string(event) + "\ndata: " + request + "\n\n";
         co_await exchange.write(std::move(text));
-        co_await pauseFor(eventPause);
+        co_await pauseFor(eventInterval);
     }
     co_await exchange.finishStream();
 }
@@ -232,42 +234,42 @@
 {
     if (std::exchange(isDown_, true))
         return;
-    ++hall_.crashes_;
+    ++registry_.crashes_;
     server_.stop();
     group_.reset();
     fence_ = 0;
-    epochSeen_ = 0;
-    asio::co_spawn(context_, startAgain(), asio::detached);
+    highestEpoch_ = 0;
+    asio::co_spawn(context_, restart(), asio::detached);
 }
 
-asio::awaitable<void> GroupEngineStandin::startAgain()
+asio::awaitable<void> GroupEngineStandin::restart()
 {
-    co_await pauseFor(downTime);
+    co_await pauseFor(restartDelay);
     ++bornAt_;
     isDown_ = false;
     server_.listenAgain();
-    list();
+    registerEntry();
 }
 
 bool GroupEngineStandin::isWhole() const
 {
     for (const auto &member : group_->members_) {
-        const auto found = hall_.engines_.find(member);
-        if (found == hall_.engines_.end() || !found->second->group_
+        const auto found = registry_.engines_.find(member);
+        if (found == registry_.engines_.end() || !found->second->group_
             || found->second->group_->epoch_ != group_->epoch_)
             return false;
     }
     return true;
 }
 
-/// Nothing moves in a group that lost a member.
+/// A group with a missing or silent member makes no progress.
 bool GroupEngineStandin::isStalled() const
 {
     if (!group_)
         return false;
     for (const auto &member : group_->members_) {
-        const auto found = hall_.engines_.find(member);
-        if (found == hall_.engines_.end() || found->second->isSilent())
+        const auto found = registry_.engines_.find(member);
+        if (found == registry_.engines_.end() || found->second->isSilent())
             return true;
     }
     return !isWhole();
@@ -283,7 +285,7 @@
         co_return;
     }
     fence_ = numberIn(object, "Fence");
-    const auto status = textIn(object, "Op") == "join" ? join(body) : change(body);
+    const auto status = textIn(object, "Op") == "join" ? join(body) : changeGroup(body);
     auto response = jsonResponse(status, "");
     co_await exchange.respond(std::move(response));
 }
@@ -292,16 +294,17 @@
 {
     const auto object = json::parse(body).as_object();
     const auto epoch = numberIn(object, "epoch");
-    if (epoch < epochSeen_)
+    if (epoch < highestEpoch_)
         return 412;
-    epochSeen_ = epoch;
+    highestEpoch_ = epoch;
     if (group_ && group_->epoch_ != epoch) {
-        const auto head = hall_.engines_.find(group_->members_.front());
-        const bool serves = head != hall_.engines_.end() && head->second->group_
+        const auto head = registry_.engines_.find(group_->members_.front());
+        const bool serves = head != registry_.engines_.end() && head->second->group_
                             && head->second->group_->epoch_ == group_->epoch_
                             && head->second->group_->state_ == "open";
         if (serves)
-            hall_.violations_.push_back(id_ + " was joined while its group served");
+            registry_.violations_.push_back(id_
+                                            + " was ordered to join while its group was serving");
     }
     Group group;
     group.name_ = textIn(object, "group");
@@ -315,17 +318,17 @@
     const auto model = textIn(object, "Model");
     const bool wasStaged = std::exchange(staged_, model) == model;
     group_ = std::move(group);
-    list();
+    registerEntry();
     asio::co_spawn(context_, becomeReady(epoch, wasStaged), asio::detached);
     return 202;
 }
 
 asio::awaitable<void> GroupEngineStandin::becomeReady(std::uint64_t epoch, bool wasStaged)
 {
-    co_await pauseFor(wasStaged ? warmTime : loadTime);
+    co_await pauseFor(wasStaged ? warmLoadTime : coldLoadTime);
     if (group_ && group_->epoch_ == epoch) {
         group_->state_ = "ready";
-        list();
+        registerEntry();
     }
 }
 
@@ -334,29 +337,29 @@
     co_await pauseFor(openTime);
     if (group_ && group_->epoch_ == epoch) {
         group_->state_ = "open";
-        list();
+        registerEntry();
     }
 }
 
-unsigned GroupEngineStandin::change(const std::string &body)
+unsigned GroupEngineStandin::changeGroup(const std::string &body)
 {
     const auto object = json::parse(body).as_object();
     const auto operation = textIn(object, "Op");
     if (operation == "Stage") {
         staged_ = textIn(object, "Model");
-        list();
+        registerEntry();
         return 202;
     }
     if (!group_ || group_->epoch_ != numberIn(object, "epoch"))
         return 409;
     if (operation == "leave") {
         group_.reset();
-        list();
+        registerEntry();
         return 200;
     }
     if (operation == "close") {
         group_->state_ = "ready";
-        list();
+        registerEntry();
         return 202;
     }
     if (operation != "open" || group_->state_ != "ready")
--- a/tests/support/group_engine_standin.hpp
+++ b/tests/support/group_engine_standin.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Stand-in of the users' engines, which form groups by orders, and of their plain services.
+/// \brief Test double of the users' engines, which form groups on orders, and of plain endpoints.
 #pragma once
 
 #include "support/row_store_standin.hpp"
@@ -14,50 +14,51 @@
 
 class GroupEngineStandin;
 
-/// \brief Engines by id, and what they saw go wrong.
-struct EngineHall
+/// \brief All engines by id, with their shared observations.
+struct EngineRegistry
 {
     RowStoreStandin &store_;
     std::map<std::string, std::shared_ptr<GroupEngineStandin>> engines_;
-    std::map<std::string, int> runs_; ///< Starts of a run by request id.
+    std::map<std::string, int> runs_; ///< Execution starts by request id.
     std::vector<std::string> violations_;
-    int crashes_ = 0; ///< Engines that ended under a poison pill.
+    int crashes_ = 0; ///< Engine crashes caused by poison-pill requests.
 };
 
-/// \brief One engine, or one endpoint of a plain service if it has no domain.
-/// \details A group streams only while all its members listen; a request that begins in an
-/// incomplete group, and a join while the head of the engine's group serves, are written down as
-/// violations. A request for a path that ends with "/pill" ends the engine as it begins to run; it
-/// is back after a second and a half, under its id and without a group.
+/// \brief One engine, or one endpoint of a plain service if it has no fabric domain.
+/// \details A group streams only while all its members respond. A request that starts in an
+/// incomplete group, and a join while the head of the engine's group is serving, are recorded as
+/// violations. A request for a path that ends with "/pill" crashes the engine when it starts to
+/// run; the engine restarts after 1.5 s with the same id and without a group.
 class GroupEngineStandin
 {
 public:
-    GroupEngineStandin(boost::asio::io_context &context, EngineHall &hall, std::string id,
+    GroupEngineStandin(boost::asio::io_context &context, EngineRegistry &registry, std::string id,
                        std::string service, std::string domain);
 
-    /// \brief Registers the engine, and again after each change.
-    void list();
-    /// \brief Stops answering; the entry stays until expire().
-    void fallSilent() { isSilent_ = true; }
+    /// \brief Writes the engine's entry to the store; called after each change.
+    void registerEntry();
+    /// \brief Stops responding; the entry stays until it is removed with /test/expire.
+    void stopResponding() { isSilent_ = true; }
     [[nodiscard]] bool isSilent() const { return isSilent_; }
-    /// \brief Says that it is leaving.
+    /// \brief Marks the entry as draining.
     void drain();
     [[nodiscard]] std::uint16_t port() const { return server_.port(); }
-    /// \brief Names \p perSecond as its limit in each answer from now on, or none if it is empty,
-    /// and counts what arrives anew.
-    void limit(std::string perSecond);
-    /// \brief Refuses all for \p need, names \p cooldown in each refusal, and counts what arrives
-    /// anew.
-    void refuseFor(std::chrono::milliseconds need, std::string cooldown);
-    /// \brief Says in its answers that it leaves, and not in its entry; counts anew.
-    void sayLeaving();
-    /// \brief When requests arrived since the limit, the need or the leaving was set.
+    /// \brief Announces the rate limit \p perSecond in each response, or none if it is empty, and
+    /// clears the recorded arrivals.
+    void setRateLimit(std::string perSecond);
+    /// \brief Refuses all requests for \p refusalPeriod with \p cooldown as Retry-After, and clears
+    /// the recorded arrivals.
+    void startCooldown(std::chrono::milliseconds refusalPeriod, std::string cooldown);
+    /// \brief Announces in its responses, but not in its entry, that it is leaving, and clears the
+    /// recorded arrivals.
+    void announceLeaving();
+    /// \brief Arrival times of requests since the limit, cooldown or leaving state was last set.
     [[nodiscard]] const std::vector<std::chrono::steady_clock::time_point> &arrivals() const
     {
         return arrivals_;
     }
-    /// \brief Lists another port of this machine, which leads here.
-    void listAt(std::uint16_t port);
+    /// \brief Registers another local port, which forwards to this engine.
+    void registerAt(std::uint16_t port);
 
 private:
     struct Group
@@ -74,22 +75,22 @@
     boost::asio::awaitable<void> stream(StandinExchange &exchange);
     boost::asio::awaitable<void> order(StandinExchange &exchange);
     unsigned join(const std::string &body);
-    unsigned change(const std::string &body);
+    unsigned changeGroup(const std::string &body);
     boost::asio::awaitable<void> becomeReady(std::uint64_t epoch, bool wasStaged);
     boost::asio::awaitable<void> becomeOpen(std::uint64_t epoch);
-    /// \brief Ends as a process does, and starts again after a while.
+    /// \brief Simulates a process crash with a later restart.
     void crash();
-    boost::asio::awaitable<void> startAgain();
+    boost::asio::awaitable<void> restart();
     [[nodiscard]] bool isRefusing() const;
     boost::asio::awaitable<void> refuse(StandinExchange &exchange);
-    /// \brief Says in an answer what there is to say of the endpoint itself.
-    void name(StandinResponse &response) const;
+    /// \brief Adds the header fields about the endpoint itself: rate limit and leaving.
+    void addEndpointFields(StandinResponse &response) const;
     [[nodiscard]] bool isWhole() const;
     [[nodiscard]] bool isStalled() const;
     [[nodiscard]] std::string state() const;
 
     boost::asio::io_context &context_;
-    EngineHall &hall_;
+    EngineRegistry &registry_;
     std::string id_;
     std::string service_;
     std::string domain_;
@@ -97,16 +98,16 @@
     std::optional<Group> group_;
     std::uint64_t bornAt_ = 1;
     std::uint64_t fence_ = 0;
-    std::uint64_t epochSeen_ = 0;
+    std::uint64_t highestEpoch_ = 0;
     bool isSilent_ = false;
     bool isDown_ = false;
     bool isDraining_ = false;
-    bool saysLeaving_ = false;
+    bool announcesLeaving_ = false;
     std::chrono::steady_clock::time_point refusesUntil_{};
-    std::string cooldown_; ///< Seconds, named in refusals until then.
-    std::string limit_;    ///< Requests a second; empty if there is none.
+    std::string cooldown_; ///< Retry-After in refusals, seconds.
+    std::string limit_;    ///< Requests per second; empty if there is none.
     std::vector<std::chrono::steady_clock::time_point> arrivals_;
-    std::uint16_t listedPort_ = 0; ///< In place of its own, unless zero.
+    std::uint16_t registeredPort_ = 0; ///< Registered in place of the actual port unless 0.
     StandinServer server_;
 };
 
--- a/tests/support/programs/fleet_platform_standin.cpp
+++ b/tests/support/programs/fleet_platform_standin.cpp
@@ -1,12 +1,18 @@
 /// \file
-/// \brief Program: the users' store with engines in groups and plain endpoints, on 127.0.0.1.
-/// \details The store's port also takes what a test tells it: POST /test/config with a
-/// configuration, /test/silence/ID, /test/expire/ID, /test/drain/ID, /test/outage/STATUS,
-/// /test/limit/ID with the requests a second that the endpoint names from then on,
-/// /test/cooldown/ID with the seconds that it names in refusals for a while, /test/leaving/ID after
-/// which it says in its answers that it leaves,
-/// /test/restore/AGE with the age of the backup in milliseconds, /test/port/ID with the port that
-/// the endpoint lists, and GET /test/report with runs, violations and the endpoints' own ports.
+/// \brief Program: test double of the users' store, engines and plain endpoints, on 127.0.0.1.
+/// \details The store's port also accepts test commands. POST requests:
+/// - /test/config: publishes the configuration in the body.
+/// - /test/silence/ID: the endpoint stops responding.
+/// - /test/expire/ID: removes the endpoint's entry.
+/// - /test/drain/ID: the endpoint's entry becomes "draining".
+/// - /test/limit/ID: the endpoint announces the rate limit in the body (requests per second).
+/// - /test/cooldown/ID: the endpoint refuses for a while, with the Retry-After in the body.
+/// - /test/leaving/ID: the endpoint announces in its responses, not in its entry, that it leaves.
+/// - /test/port/ID: the endpoint registers the port in the body.
+/// - /test/restore/AGE: restores a backup of at least that age in milliseconds.
+/// - /test/outage/STATUS: the store responds with that status only; 0 ends the outage.
+///
+/// GET /test/report returns runs, arrivals, crashes, violations and the endpoints' actual ports.
 #include "support/group_engine_standin.hpp"
 #include "support/program_options.hpp"
 
@@ -20,8 +26,8 @@
 
 namespace json = boost::json;
 
-/// Milliseconds; only their differences mean something.
-json::array arrivalsOf(const GroupEngineStandin &engine)
+/// Times in milliseconds from an arbitrary origin.
+json::array encodeArrivals(const GroupEngineStandin &engine)
 {
     json::array result;
     for (const auto at : engine.arrivals())
@@ -30,63 +36,63 @@
     return result;
 }
 
-std::string reportOf(const EngineHall &hall)
+std::string encodeReport(const EngineRegistry &registry)
 {
     json::object runs;
-    for (const auto &[request, count] : hall.runs_)
+    for (const auto &[request, count] : registry.runs_)
         runs[request] = count;
-    json::array violations(hall.violations_.begin(), hall.violations_.end());
+    json::array violations(registry.violations_.begin(), registry.violations_.end());
     json::object ports;
-    for (const auto &[id, engine] : hall.engines_)
+    for (const auto &[id, engine] : registry.engines_)
         ports[id] = engine->port();
     json::object arrivals;
-    for (const auto &[id, engine] : hall.engines_)
-        arrivals[id] = arrivalsOf(*engine);
+    for (const auto &[id, engine] : registry.engines_)
+        arrivals[id] = encodeArrivals(*engine);
     return json::serialize(json::object{{"runs", std::move(runs)},
                                         {"arrivals", std::move(arrivals)},
-                                        {"crashes", hall.crashes_},
+                                        {"crashes", registry.crashes_},
                                         {"violations", std::move(violations)},
                                         {"ports", std::move(ports)}});
 }
 
-/// For which an endpoint that is told to refuse does so.
-constexpr auto need = std::chrono::milliseconds(2500);
+/// How long an endpoint refuses after a cooldown command.
+constexpr auto refusalPeriod = std::chrono::milliseconds(2500);
 
-void command(EngineHall &hall, const std::string &path, const std::string &body)
+void command(EngineRegistry &registry, const std::string &path, const std::string &body)
 {
     const auto slash = path.rfind('/');
     const auto verb = path.substr(0, slash);
     const auto id = path.substr(slash + 1);
     if (path == "/test/config")
-        hall.store_.put("op", "config", body);
+        registry.store_.put("op", "config", body);
     else if (verb == "/test/silence")
-        hall.engines_.at(id)->fallSilent();
+        registry.engines_.at(id)->stopResponding();
     else if (verb == "/test/expire")
-        hall.store_.remove("servers", id);
+        registry.store_.remove("servers", id);
     else if (verb == "/test/drain")
-        hall.engines_.at(id)->drain();
+        registry.engines_.at(id)->drain();
     else if (verb == "/test/limit")
-        hall.engines_.at(id)->limit(body);
+        registry.engines_.at(id)->setRateLimit(body);
     else if (verb == "/test/cooldown")
-        hall.engines_.at(id)->refuseFor(need, body);
+        registry.engines_.at(id)->startCooldown(refusalPeriod, body);
     else if (verb == "/test/leaving")
-        hall.engines_.at(id)->sayLeaving();
+        registry.engines_.at(id)->announceLeaving();
     else if (verb == "/test/port")
-        hall.engines_.at(id)->listAt(static_cast<std::uint16_t>(std::stoul(body)));
+        registry.engines_.at(id)->registerAt(static_cast<std::uint16_t>(std::stoul(body)));
     else if (verb == "/test/restore")
-        hall.store_.restore(std::chrono::milliseconds(std::stoul(id)));
+        registry.store_.restore(std::chrono::milliseconds(std::stoul(id)));
     else if (verb == "/test/outage")
-        hall.store_.outage_ = static_cast<unsigned>(std::stoul(id));
+        registry.store_.outage_ = static_cast<unsigned>(std::stoul(id));
 }
 
-boost::asio::awaitable<void> handle(RowStoreStandin &store, EngineHall &hall,
+boost::asio::awaitable<void> handle(RowStoreStandin &store, EngineRegistry &registry,
                                     StandinExchange &exchange)
 {
     const bool isTaken = co_await store.handle(exchange);
     if (isTaken)
         co_return;
-    command(hall, std::string(exchange.request().target()), exchange.request().body());
-    auto response = jsonResponse(200, reportOf(hall));
+    command(registry, std::string(exchange.request().target()), exchange.request().body());
+    auto response = jsonResponse(200, encodeReport(registry));
     co_await exchange.respond(std::move(response));
 }
 
@@ -104,12 +110,12 @@
         .parse(argc, argv);
     boost::asio::io_context context;
     RowStoreStandin store;
-    EngineHall hall{store, {}, {}, {}, 0};
+    EngineRegistry registry{store, {}, {}, {}, 0};
     const auto add = [&](const std::string &id, const std::string &service,
                          const std::string &domain) {
-        auto engine = std::make_shared<GroupEngineStandin>(context, hall, id, service, domain);
-        engine->list();
-        hall.engines_.emplace(id, std::move(engine));
+        auto engine = std::make_shared<GroupEngineStandin>(context, registry, id, service, domain);
+        engine->registerEntry();
+        registry.engines_.emplace(id, std::move(engine));
     };
     for (std::uint64_t d = 0; d < domains; ++d) {
         for (std::uint64_t e = 0; e < engines; ++e)
@@ -117,8 +123,8 @@
     }
     for (std::uint64_t p = 0; p < plain; ++p)
         add("p-" + std::to_string(p), "app", "");
-    StandinServer server(context, 0,
-                         [&](StandinExchange &exchange) { return handle(store, hall, exchange); });
+    StandinServer server(
+        context, 0, [&](StandinExchange &exchange) { return handle(store, registry, exchange); });
     runStandin(context, server.port());
     return 0;
 }
--- a/tests/support/row_store_standin.cpp
+++ b/tests/support/row_store_standin.cpp
@@ -15,13 +15,13 @@
 
 using Query = std::map<std::string, std::string>;
 
-constexpr auto feedPoll = std::chrono::milliseconds(5);
+constexpr auto feedPollInterval = std::chrono::milliseconds(5);
 
 constexpr auto timelineField = "Store-Era";
 constexpr auto backupPeriod = std::chrono::milliseconds(250);
-constexpr auto backupsKept = std::chrono::seconds(10);
-/// Engines and operators have noticed by then, and written again.
-constexpr auto writingAgainAfter = std::chrono::milliseconds(1500);
+constexpr auto backupRetention = std::chrono::seconds(10);
+/// Time until operators and engines notice a restore and rewrite their rows.
+constexpr auto rewriteDelay = std::chrono::milliseconds(1500);
 
 std::string encoded(const std::string &text)
 {
@@ -44,7 +44,7 @@
     return result;
 }
 
-Query queryOf(const std::string &target)
+Query parseQuery(const std::string &target)
 {
     Query result;
     auto rest = target.substr(std::min(target.size(), target.find('?') + 1));
@@ -76,7 +76,7 @@
                           const std::string &value)
 {
     rows_[{table, key}] = {encoded(value), ++version_, false};
-    others_[{table, key}] = rows_[{table, key}];
+    foreignRows_[{table, key}] = rows_[{table, key}];
 }
 
 void RowStoreStandin::remove(const std::string &table, const std::string &key)
@@ -84,16 +84,16 @@
     auto &row = rows_[{table, key}];
     if (!row.isRemoved_)
         row = {"", ++version_, true};
-    others_[{table, key}] = row;
+    foreignRows_[{table, key}] = row;
 }
 
-void RowStoreStandin::keepBackups()
+void RowStoreStandin::takeBackup()
 {
     const auto now = std::chrono::steady_clock::now();
     if (!backups_.empty() && now - backups_.back().at_ < backupPeriod)
         return;
     backups_.push_back({now, rows_, version_});
-    while (now - backups_.front().at_ > backupsKept)
+    while (now - backups_.front().at_ > backupRetention)
         backups_.pop_front();
 }
 
@@ -106,16 +106,16 @@
         return;
     rows_ = backups_.back().rows_;
     version_ = backups_.back().version_;
-    writesAgainAt_ = now + writingAgainAfter;
+    rewriteAt_ = now + rewriteDelay;
     ++timeline_;
 }
 
-void RowStoreStandin::writeAgain()
+void RowStoreStandin::rewriteForeignRows()
 {
-    if (!writesAgainAt_ || std::chrono::steady_clock::now() < *writesAgainAt_)
+    if (!rewriteAt_ || std::chrono::steady_clock::now() < *rewriteAt_)
         return;
-    writesAgainAt_.reset();
-    for (const auto &[key, newest] : others_) {
+    rewriteAt_.reset();
+    for (const auto &[key, newest] : foreignRows_) {
         auto &row = rows_[key];
         if (row.value_ != newest.value_ || row.isRemoved_ != newest.isRemoved_)
             row = {newest.value_, ++version_, newest.isRemoved_};
@@ -184,7 +184,7 @@
     };
     const auto timeline = timeline_;
     while (timeline == timeline_ && !hasChanged() && std::chrono::steady_clock::now() < end)
-        co_await pauseFor(feedPoll);
+        co_await pauseFor(feedPollInterval);
     const bool isGone = timeline != timeline_ || after > version_;
     auto response = isGone ? jsonResponse(410, "") : jsonResponse(200, changes(table, after));
     response.set(timelineField, std::to_string(timeline_));
@@ -219,7 +219,7 @@
         return jsonResponse(outage_, "");
     if (target.starts_with("/-/rows-tx"))
         return transact(body);
-    return jsonResponse(200, listing(queryOf(target)));
+    return jsonResponse(200, listing(parseQuery(target)));
 }
 
 boost::asio::awaitable<bool> RowStoreStandin::handle(StandinExchange &exchange)
@@ -227,10 +227,10 @@
     const std::string target(exchange.request().target());
     if (!target.starts_with("/-/rows-"))
         co_return false;
-    keepBackups();
-    writeAgain();
+    takeBackup();
+    rewriteForeignRows();
     if (outage_ == 0 && target.starts_with("/-/rows-feed")) {
-        co_await feed(exchange, queryOf(target));
+        co_await feed(exchange, parseQuery(target));
         co_return true;
     }
     auto response = answerTo(target, exchange.request().body());
--- a/tests/support/row_store_standin.hpp
+++ b/tests/support/row_store_standin.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Stand-in of the users' metadata store: rows, conditional transactions and feeds.
+/// \brief Test double of the users' metadata store: rows, conditional transactions and feeds.
 #pragma once
 
 #include "support/standin_server.hpp"
@@ -13,24 +13,26 @@
 
 namespace cardamombay::support {
 
-/// \brief Rows by table and key, with one rising version; speaks the platform's published protocol.
+/// \brief Rows by table and key with a single increasing version, served over the platform's
+/// published protocol.
 class RowStoreStandin
 {
 public:
-    /// \name Rows of others: operators and engines
+    /// \name Rows written by operators and engines
     /// \{
     void put(const std::string &table, const std::string &key, const std::string &value);
     void remove(const std::string &table, const std::string &key);
     /// \}
 
-    /// \brief Answers a call; false if the path is none of the store's.
+    /// \brief Handles a request.
+    /// \returns false if the path does not belong to the store.
     boost::asio::awaitable<bool> handle(StandinExchange &exchange);
 
-    /// \brief Comes back from a backup that is at least \p age old, on a new timeline. Operators
-    /// and engines write again what it lacks of theirs, some time later.
+    /// \brief Restores a backup that is at least \p age old and starts a new timeline. Some time
+    /// later the lost rows of operators and engines are rewritten.
     void restore(std::chrono::milliseconds age);
 
-    /// \brief While set, every call gets this status.
+    /// \brief While not 0, every request gets this status.
     unsigned outage_ = 0;
 
 private:
@@ -57,15 +59,15 @@
         std::map<Key, Row> rows_;
         std::uint64_t version_ = 0;
     };
-    void keepBackups();
-    void writeAgain();
+    void takeBackup();
+    void rewriteForeignRows();
 
     std::map<Key, Row> rows_;
     std::uint64_t version_ = 0;
     std::uint64_t timeline_ = 1;
     std::deque<Backup> backups_;
-    std::map<Key, Row> others_; ///< What operators and engines wrote last.
-    std::optional<Time> writesAgainAt_;
+    std::map<Key, Row> foreignRows_; ///< Latest rows written by operators and engines.
+    std::optional<Time> rewriteAt_;
 };
 
 } // namespace cardamombay::support
