--- a/tests/adapter/formats.cpp
+++ b/tests/adapter/formats.cpp
@@ -87,7 +87,7 @@
     cr_assert_eq(engine.prefillChunkTokens_, 512);
 }
 
-Test(store_format, text_that_is_no_configuration_is_an_error)
+Test(store_format, invalid_configuration_text_is_an_error)
 {
     for (const auto *text : {"", "{", "[]", "{}", R"({"Version":0})"})
         cr_assert(isError<MalformedMessage>(PlatformFormat().configuration(text)));
@@ -107,7 +107,7 @@
     cr_assert_eq(endpoint.membership_->state_, MemberState::Ready);
 }
 
-Test(store_format, entry_that_is_not_ready_is_leaving_and_one_without_address_refused)
+Test(store_format, entry_that_is_not_ready_is_draining_and_one_without_address_is_rejected)
 {
     const PlatformFormat format;
     const auto leaving = format.endpoint(
@@ -119,7 +119,7 @@
         format.endpoint(VmId("i"), R"({"Service":"s","Zone":"z","Slots":6,"State":"ready"})")));
 }
 
-Test(store_format, start_of_an_endpoint_is_read_and_zero_if_it_is_not_said)
+Test(store_format, start_time_of_an_endpoint_is_read_and_zero_if_missing)
 {
     const PlatformFormat format;
     const std::string rest
@@ -195,7 +195,7 @@
     cr_assert_eq(configuration.teams_[1].regions_.front(), RegionName("south"));
 }
 
-Test(store_format, rows_beside_the_configuration_name_evacuated_zones)
+Test(store_format, rows_in_the_configuration_table_name_evacuated_zones)
 {
     const PlatformFormat format;
     cr_assert_eq(*format.evacuatedZone("evacuate/z-1"), AvailabilityZone("z-1"));
@@ -203,11 +203,11 @@
     cr_assert_not(format.evacuatedZone("config"));
 }
 
-Test(store_format, entry_of_another_writer_names_no_endpoint)
+Test(store_format, invalid_entries_are_rejected)
 {
     const PlatformFormat format;
     cr_assert(isOk(format.endpoint(VmId("i"), entryWith("", ""))));
-    const std::vector<std::pair<std::string, std::vector<std::string>>> spoiled{
+    const std::vector<std::pair<std::string, std::vector<std::string>>> invalidValues{
         {"Service", {"", "7", "null", R"("")", "[]"}},
         {"Address", {"", "8080", R"("")", R"("here")", R"("10.1.0.9")", R"("10.1.0.9:99999")"}},
         {"Zone", {"", "{}", R"("")"}},
@@ -223,7 +223,7 @@
           R"({"Name":"m.3","epoch":-3,"rank":1,"State":"ready"})",
           R"({"Name":"m.3","epoch":3,"rank":1e99,"State":"ready"})",
           R"({"Name":"m.3","epoch":3,"rank":1,"State":"dozing"})"}}};
-    for (const auto &[field, values] : spoiled) {
+    for (const auto &[field, values] : invalidValues) {
         for (const auto &value : values)
             cr_assert(
                 isError<MalformedMessage>(format.endpoint(VmId("i"), entryWith(field, value))),
@@ -235,7 +235,7 @@
         cr_assert(isError<MalformedMessage>(format.endpoint(VmId("i"), text)));
 }
 
-Test(dialect, head_of_a_caller_is_read)
+Test(dialect, request_head_is_parsed)
 {
     const Fields fields{
         {"x-request-id", "r"},     {"Host", "h"},          {"Authorization", "Bearer k1"},
@@ -251,7 +251,7 @@
     cr_assert_eq(*head.lastEvent_, 12);
 }
 
-Test(dialect, values_that_cannot_be_read_count_as_absent)
+Test(dialect, unreadable_values_count_as_absent)
 {
     const Fields fields{{"X-Deadline-Ms", "soon"}, {"X-Token-Counts", "7"}, {"Authorization", "k"}};
     const auto head = PlatformDialect().parseRequestHead(fields);
@@ -285,7 +285,7 @@
     cr_assert_eq(valueIn(result, "X-Kept"), "yes");
 }
 
-Test(dialect, refusals_of_endpoints_are_told_from_failures)
+Test(dialect, refusals_of_endpoints_are_distinguished_from_failures)
 {
     const PlatformDialect dialect;
     cr_assert(dialect.parseResponseHead({503, {{"X-Not-Executed", "1"}}, {}}).isRefused_);
@@ -295,7 +295,7 @@
     cr_assert(dialect.parseResponseHead({200, {{"X-Response-Seal", "s"}}, {}}).isSealed_);
 }
 
-Test(dialect, limits_of_the_rate_are_read_from_answers)
+Test(dialect, rate_limits_are_read_from_responses)
 {
     const PlatformDialect dialect;
     const auto read = [&dialect](std::vector<net::HttpField> fields) {
@@ -307,7 +307,7 @@
     cr_assert_not(read({}).notices_.isLimitUnreadable_);
 }
 
-Test(dialect, a_limit_that_is_no_usable_number_counts_as_unreadable)
+Test(dialect, an_invalid_rate_limit_counts_as_unreadable)
 {
     const PlatformDialect dialect;
     for (const auto *text : {"", "-1", "nan", "inf", "1e999", "2, 3", "2 a second", "two"}) {
@@ -337,7 +337,7 @@
     cr_assert_not(read(503, {}).isCooldownUnreadable_);
 }
 
-Test(dialect, a_cooldown_that_is_no_usable_number_counts_as_unreadable)
+Test(dialect, an_invalid_cooldown_counts_as_unreadable)
 {
     const PlatformDialect dialect;
     for (const auto *text : {"", "-1", "nan", "inf", "2, 3", "Wed, 21 Oct 2026 07:28:00 GMT"}) {
@@ -345,11 +345,11 @@
         cr_expect(notices.isCooldownUnreadable_, "%s", text);
         cr_expect_not(notices.cooldown_.has_value(), "%s", text);
     }
-    const auto absurd = dialect.parseResponseHead({503, {{"Retry-After", "1e300"}}, {}}).notices_;
-    cr_expect_gt(absurd.cooldown_.value(), Duration(std::chrono::hours(24)));
+    const auto huge = dialect.parseResponseHead({503, {{"Retry-After", "1e300"}}, {}}).notices_;
+    cr_expect_gt(huge.cooldown_.value(), Duration(std::chrono::hours(24)));
 }
 
-Test(dialect, endpoint_that_leaves_is_told_from_others_by_any_answer)
+Test(dialect, leaving_endpoint_is_recognized_in_any_response)
 {
     const PlatformDialect dialect;
     for (const std::uint32_t status : {200U, 500U, 503U}) {
@@ -362,7 +362,7 @@
         dialect.parseResponseHead({200, {{"Server-Leaving", "0"}}, {}}).notices_.isLeaving_);
 }
 
-Test(dialect, own_failures_carry_no_seal_and_a_time_to_come_back)
+Test(dialect, generated_failures_carry_retry_after_and_no_seal)
 {
     const auto response = PlatformDialect().failure(503, "full", milliseconds(60));
     cr_assert_eq(response.field("Retry-After"), "0.060");
--- a/tests/adapter/store_client.cpp
+++ b/tests/adapter/store_client.cpp
@@ -89,7 +89,7 @@
                   std::string::npos);
 }
 
-Test(store_client, rows_of_others_are_read_where_they_write_them)
+Test(store_client, rows_of_foreign_tables_are_read_from_the_unnamed_partition)
 {
     Bench bench;
     bench.answer(200, R"({"Rows":[],"Truncated":false,"Ver":9,"NowMs":1})");
@@ -112,7 +112,7 @@
     cr_assert_eq(conflict.writer_, WriterToken("x"));
 }
 
-Test(store_client, lost_answer_of_a_write_is_not_a_failure)
+Test(store_client, lost_response_of_a_write_is_not_a_failure)
 {
     Bench bench;
     bench.client_.result_ = net::HttpFailure{true, true, "timeout"};
@@ -140,7 +140,7 @@
     cr_assert_eq(bench.client_.requests_[0].target_, "/-/rows-feed?Table=t&After=3&WaitMs=1000");
 }
 
-Test(store_client, lost_history_is_told_from_an_outage)
+Test(store_client, lost_history_is_distinguished_from_an_outage)
 {
     Bench bench;
     bench.answer(410, "");
@@ -166,7 +166,7 @@
 
 /// For a version that it has not reached again, a restored store may not respond before the wait
 /// ends, or may return other changes with the same version numbers.
-Test(store_client, feed_from_before_a_restore_is_lost_history_and_does_not_wait)
+Test(store_client, feed_from_before_a_restore_has_lost_its_history_and_does_not_wait)
 {
     Bench bench;
     bench.answer(200, R"({"Rows":[],"Ver":9})", "2");
@@ -192,7 +192,7 @@
     cr_assert(isOk(bench.commit(RowVersion())));
 }
 
-Test(store_client, answer_of_an_earlier_timeline_is_not_used)
+Test(store_client, response_of_an_earlier_timeline_is_ignored)
 {
     Bench bench;
     bench.answer(200, R"({"Rows":[],"Ver":12})", "2");
@@ -204,19 +204,19 @@
     cr_assert_eq(valueOf(bench.list()).storeVersion_, RowVersion::at(StoreTimeline(2), 13));
 }
 
-Test(store_client, timeline_that_cannot_be_read_changes_nothing)
+Test(store_client, unreadable_timeline_is_ignored)
 {
     Bench bench;
     bench.answer(200, R"({"Rows":[],"Ver":12})", "2");
     cr_assert(isOk(bench.list()));
-    for (const auto *odd : {"", "x", "-1", "2.5", "3 ", "99999999999999999999", "1000000"}) {
-        bench.answer(200, R"({"Rows":[],"Ver":13})", odd);
+    for (const auto *invalid : {"", "x", "-1", "2.5", "3 ", "99999999999999999999", "1000000"}) {
+        bench.answer(200, R"({"Rows":[],"Ver":13})", invalid);
         cr_assert_eq(valueOf(bench.list()).storeVersion_, RowVersion::at(StoreTimeline(2), 13),
-                     "%s", odd);
+                     "%s", invalid);
     }
 }
 
-Test(store_client, refusal_tells_of_a_restore_too)
+Test(store_client, error_response_announces_a_restore_too)
 {
     Bench bench;
     bench.answer(503, "", "2");
@@ -243,17 +243,17 @@
     cr_assert_eq(client.requests_[0].fields_[0].value_, "i-1");
 }
 
-Test(engine_orders, unanswered_order_may_still_be_carried_out)
+Test(engine_orders, unanswered_order_may_still_be_executed)
 {
     FakeClient client;
     client.result_ = net::HttpFailure{true, true, "timeout"};
     EngineOrders orders(client, seconds(1), seconds(1));
     std::optional<Result<serving::OrderAnswer>> answer;
-    const auto take = [&answer](const auto &one) { answer = one; };
-    orders.send({}, serving::StageOrder{ModelName("m")}, 1, take);
+    const auto record = [&answer](const auto &one) { answer = one; };
+    orders.send({}, serving::StageOrder{ModelName("m")}, 1, record);
     cr_assert(isError<TimedOut>(*answer));
     client.result_ = net::HttpFailure{false, false, "refused"};
-    orders.send({}, serving::StageOrder{ModelName("m")}, 1, take);
+    orders.send({}, serving::StageOrder{ModelName("m")}, 1, record);
     cr_assert(isError<EndpointUnreachable>(*answer));
 }
 
@@ -261,8 +261,9 @@
 {
     FakeClient client;
     EngineOrders orders(client, seconds(1), seconds(1));
-    std::vector<serving::AnswerNotices> told;
-    orders.onNotices([&told](const auto & /*engine*/, const auto &one) { told.push_back(one); });
+    std::vector<serving::AnswerNotices> received;
+    orders.onNotices(
+        [&received](const auto & /*engine*/, const auto &one) { received.push_back(one); });
     client.result_ = net::HttpResponse{503, {{"Retry-After", "3"}, {"Server-Leaving", "1"}}, {}};
     std::optional<Result<serving::OrderAnswer>> answer;
     orders.send({}, serving::StageOrder{ModelName("m")}, 1,
@@ -271,18 +272,18 @@
     std::optional<Result<serving::Endpoint>> state;
     orders.state({}, [&state](const auto &one) { state = one; });
     cr_assert(isError<EndpointCoolingDown>(*state));
-    cr_assert_eq(told.size(), 2);
-    cr_assert_eq(told[1].cooldown_, Duration(seconds(3)));
-    cr_assert(told[0].isLeaving_);
+    cr_assert_eq(received.size(), 2);
+    cr_assert_eq(received[1].cooldown_, Duration(seconds(3)));
+    cr_assert(received[0].isLeaving_);
 }
 
-Test(engine_orders, another_engine_at_the_address_says_nothing_of_the_one_that_was_meant)
+Test(engine_orders, notices_of_another_engine_at_the_address_are_ignored)
 {
     FakeClient client;
     EngineOrders orders(client, seconds(1), seconds(1));
-    int told = 0;
-    orders.onNotices([&told](const auto & /*engine*/, const auto & /*one*/) { ++told; });
+    int received = 0;
+    orders.onNotices([&received](const auto & /*engine*/, const auto & /*one*/) { ++received; });
     client.result_ = net::HttpResponse{421, {{"Server-Leaving", "1"}}, {}};
     orders.send({}, serving::StageOrder{ModelName("m")}, 1, [](const auto & /*one*/) {});
-    cr_assert_eq(told, 0);
+    cr_assert_eq(received, 0);
 }
--- a/tests/restored_store/regressions.cpp
+++ b/tests/restored_store/regressions.cpp
@@ -21,7 +21,7 @@
 
 constexpr Duration step = milliseconds(10);
 /// Time after which operators, engines and the product have rewritten the lost rows.
-constexpr Duration writtenAgain = milliseconds(1700);
+constexpr Duration rewriteTime = milliseconds(1700);
 
 struct RestoredFleet
 {
@@ -40,8 +40,8 @@
     [[nodiscard]] bool isUnused(const std::string &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *known = fleet_.node(i).book_.find(VmId(endpoint));
-            if (known != nullptr && !known->isDraining_)
+            const auto *entry = fleet_.node(i).book_.find(VmId(endpoint));
+            if (entry != nullptr && !entry->isDraining_)
                 return false;
         }
         return true;
@@ -51,8 +51,8 @@
     [[nodiscard]] bool isUsed(const std::string &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *known = fleet_.node(i).book_.find(VmId(endpoint));
-            if (known == nullptr || known->isDraining_)
+            const auto *entry = fleet_.node(i).book_.find(VmId(endpoint));
+            if (entry == nullptr || entry->isDraining_)
                 return false;
         }
         return true;
@@ -69,7 +69,7 @@
         }
     }
 
-    [[nodiscard]] std::size_t holders()
+    [[nodiscard]] std::size_t leaseHolders()
     {
         std::size_t result = 0;
         for (std::size_t i = 0; i < fleet_.size(); ++i)
@@ -82,7 +82,7 @@
 
 } // namespace
 
-Test(restored_store, endpoint_that_said_it_leaves_gets_nothing_new_though_the_copy_has_it_ready)
+Test(restored_store, draining_endpoint_stays_unused_though_the_backup_has_it_ready)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -91,14 +91,14 @@
     cr_assert(bench.isUnused("e0"));
     bench.fleet_.platform_.restore(backup);
     bench.pass(
-        writtenAgain, [&] { return bench.isUnused("e0"); }, "a draining endpoint is used again");
+        rewriteTime, [&] { return bench.isUnused("e0"); }, "a draining endpoint is used again");
     bench.fleet_.drain("e0");
     bench.pass(
         seconds(6), [&] { return bench.isUnused("e0"); },
         "a draining endpoint is used again after its entry was rewritten");
 }
 
-Test(restored_store, endpoint_that_had_ended_is_not_used_until_its_entry_in_the_copy_lapses)
+Test(restored_store, removed_endpoint_stays_unused_until_its_entry_in_the_backup_expires)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -114,7 +114,7 @@
         "a removed endpoint is used again after its entry was rewritten");
 }
 
-Test(restored_store, endpoint_that_the_copy_lacks_is_used_until_it_is_written_again)
+Test(restored_store, endpoint_missing_in_the_backup_is_used_until_it_is_rewritten)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -123,14 +123,14 @@
     cr_assert(bench.isUsed("new"));
     bench.fleet_.platform_.restore(backup);
     bench.pass(
-        writtenAgain, [&] { return bench.isUsed("new"); }, "a live endpoint is dropped");
+        rewriteTime, [&] { return bench.isUsed("new"); }, "a live endpoint is dropped");
     bench.fleet_.list("new", "d");
     bench.pass(
         seconds(6), [&] { return bench.isUsed("new"); },
         "a live endpoint is dropped after its entry was rewritten");
 }
 
-Test(restored_store, endpoint_that_the_copy_lacks_and_nobody_writes_again_is_gone)
+Test(restored_store, endpoint_missing_in_the_backup_and_never_rewritten_is_dropped)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -142,7 +142,7 @@
 }
 
 /// New version numbers are below those that entry VMs have already processed.
-Test(restored_store, changes_after_a_restore_are_known_as_soon_as_others)
+Test(restored_store, changes_after_a_restore_propagate_as_fast_as_others)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -152,15 +152,15 @@
     bench.fleet_.platform_.restore(backup);
     bench.fleet_.pass(milliseconds(300));
     bench.fleet_.drain("e1");
-    const auto leftAt = bench.fleet_.clock_.now();
-    while (!bench.isUnused("e1") && bench.fleet_.clock_.now() - leftAt < seconds(10))
+    const auto drainedAt = bench.fleet_.clock_.now();
+    while (!bench.isUnused("e1") && bench.fleet_.clock_.now() - drainedAt < seconds(10))
         bench.fleet_.pass(step);
-    cr_assert_lt(bench.fleet_.clock_.now() - leftAt, seconds(2));
+    cr_assert_lt(bench.fleet_.clock_.now() - drainedAt, seconds(2));
 }
 
 /// An acknowledged but lost configuration may have revoked any key. Until operators have had time
 /// to rewrite it, no response of the store may confirm the present configuration.
-Test(restored_store, configuration_is_neither_taken_back_nor_confirmed_by_the_copy)
+Test(restored_store, configuration_is_neither_reverted_nor_confirmed_by_the_backup)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -169,7 +169,7 @@
     bench.fleet_.platform_.restore(backup);
     const auto restoredAt = bench.fleet_.clock_.now();
     bench.pass(
-        writtenAgain,
+        rewriteTime,
         [&] {
             for (std::size_t i = 0; i < bench.fleet_.size(); ++i) {
                 auto &node = bench.fleet_.node(i);
@@ -190,7 +190,7 @@
 /// Engines must never obey a planner from before the restore and one from after it at the same
 /// time: the old lease ends, the next one begins no earlier than the old one would have expired,
 /// and its epoch is above all epochs that engines have seen.
-Test(restored_store, lease_that_the_copy_lacks_ends_and_the_next_epoch_is_higher)
+Test(restored_store, lease_missing_in_the_backup_ends_and_the_next_epoch_is_higher)
 {
     for (const int age : {1, 3}) {
         RestoredFleet bench(7, 5 + static_cast<std::uint64_t>(age));
@@ -208,14 +208,14 @@
         const auto before = second->lease_->epoch();
         bench.fleet_.platform_.restore(backup);
         bench.pass(
-            seconds(8), [&] { return bench.holders() <= 1; }, "two planners hold the lease");
+            seconds(8), [&] { return bench.leaseHolders() <= 1; }, "two planners hold the lease");
         auto *third = bench.fleet_.planner();
         cr_assert_not_null(third);
         cr_assert_gt(third->lease_->epoch(), before);
     }
 }
 
-Test(restored_store, quarantine_that_the_copy_lacks_is_written_again)
+Test(restored_store, quarantine_missing_in_the_backup_is_rewritten)
 {
     RestoredFleet bench;
     const auto backup = bench.fleet_.platform_.backup();
@@ -233,7 +233,7 @@
     cr_assert_not_null(bench.fleet_.platform_.row(key));
 }
 
-Test(restored_store, all_know_of_a_restore_within_a_second)
+Test(restored_store, restore_is_known_to_all_within_a_second)
 {
     for (const std::size_t entries : {7U, 40U, 195U}) {
         RestoredFleet bench(entries);
@@ -242,67 +242,69 @@
         bench.fleet_.platform_.restore(backup);
         bench.fleet_.list("e2", "other");
         const auto before = bench.fleet_.storeCalls();
-        Duration known{};
+        Duration knownAfter{};
         for (Duration done{}; done < seconds(1); done += step) {
             bench.fleet_.pass(step);
-            bool areAllNew = true;
+            bool doAllKnow = true;
             for (std::size_t i = 0; i < entries; ++i)
-                areAllNew = areAllNew && bench.fleet_.node(i).metrics_.storeRestores_.value() >= 1;
-            if (areAllNew && known == Duration::zero())
-                known = done + step;
+                doAllKnow = doAllKnow && bench.fleet_.node(i).metrics_.storeRestores_.value() >= 1;
+            if (doAllKnow && knownAfter == Duration::zero())
+                knownAfter = done + step;
         }
         std::printf("%zu entry VMs: a restore is known to all after %lld ms; %.1f calls of the "
                     "store by each in the first second\n",
-                    entries, static_cast<long long>(toMilliseconds(known)),
+                    entries, static_cast<long long>(toMilliseconds(knownAfter)),
                     static_cast<double>(bench.fleet_.storeCalls() - before)
                         / static_cast<double>(entries));
-        cr_expect_gt(known.count(), 0, "%zu entry VMs", entries);
+        cr_expect_gt(knownAfter.count(), 0, "%zu entry VMs", entries);
     }
 }
 
 /// One peer's digests name a version that the store has never had, on this timeline or on a much
 /// later one. This must cause neither endless store calls nor the loss of known state.
-Test(restored_store, absurd_version_of_a_peer_is_not_chased)
+Test(restored_store, invalid_version_announced_by_a_peer_is_not_pursued)
 {
-    for (const auto *absurd : {"1099511627000", "9007199254740000"}) {
+    for (const auto *invalidVersion : {"1099511627000", "9007199254740000"}) {
         RestoredFleet bench;
         bench.fleet_.pass(seconds(2));
         auto before = bench.fleet_.storeCalls();
         bench.fleet_.pass(seconds(5));
-        const auto usual = bench.fleet_.storeCalls() - before;
-        std::string liar; // The first sender of a digest with a store version.
-        std::size_t lies = 0;
-        bench.fleet_.spoils_ = [&, absurd](std::string &text) {
+        const auto usualCalls = bench.fleet_.storeCalls() - before;
+        std::string faultySender; // The first sender of a digest with a store version.
+        std::size_t alteredDigests = 0;
+        bench.fleet_.spoils_ = [&, invalidVersion](std::string &text) {
             const std::string mark = "\"endpoints\":";
             const auto from = text.find("\"from\":");
             if (from == std::string::npos || text.find("\"relay\"") == std::string::npos)
                 return;
             const auto sender = text.substr(from, text.find(',', from) - from);
-            if (liar.empty())
-                liar = sender;
-            if (liar != sender)
+            if (faultySender.empty())
+                faultySender = sender;
+            if (faultySender != sender)
                 return;
-            ++lies;
+            ++alteredDigests;
             for (auto at = text.find(mark); at != std::string::npos; at = text.find(mark, at + 1)) {
                 const auto begin = at + mark.size();
-                text.replace(begin, text.find_first_not_of("0123456789", begin) - begin, absurd);
+                text.replace(begin, text.find_first_not_of("0123456789", begin) - begin,
+                             invalidVersion);
             }
         };
         before = bench.fleet_.storeCalls();
         bench.fleet_.pass(seconds(5));
-        const auto spoiled = bench.fleet_.storeCalls() - before;
-        std::printf("calls of seven entry VMs in 5 s: %zu, %zu with an absurd version of one\n",
-                    usual, spoiled);
+        const auto callsWithInvalidVersion = bench.fleet_.storeCalls() - before;
+        std::printf(
+            "calls of seven entry VMs in 5 s: %zu, %zu with an invalid version from one peer\n",
+            usualCalls, callsWithInvalidVersion);
         // At most five calls a second per entry VM, far fewer than one per digest.
-        cr_expect_lt(spoiled, 5 * 5 * bench.fleet_.size(), "%s", absurd);
-        cr_expect_gt(lies, 0);
-        cr_expect(bench.isUsed("e0"), "%s", absurd);
-        cr_expect_eq(bench.holders(), 1, "%s", absurd);
+        cr_expect_lt(callsWithInvalidVersion, 5 * 5 * bench.fleet_.size(), "%s", invalidVersion);
+        cr_expect_gt(alteredDigests, 0);
+        cr_expect(bench.isUsed("e0"), "%s", invalidVersion);
+        cr_expect_eq(bench.leaseHolders(), 1, "%s", invalidVersion);
     }
 }
 
 /// Two restores within a second, while one entry VM cannot reach the store and sees them late.
-Test(restored_store, leavings_stand_through_restores_that_come_twice_and_are_seen_late)
+Test(restored_store, draining_persists_through_two_restores_that_are_seen_late)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         RestoredFleet bench(7, seed);
@@ -312,19 +314,19 @@
         bench.fleet_.drain("e0");
         bench.fleet_.list("e1", "");
         bench.fleet_.pass(seconds(2));
-        auto &late = bench.fleet_.node(random.below(bench.fleet_.size()));
-        late.store_.isCutOff_ = true;
+        auto &cutOffNode = bench.fleet_.node(random.below(bench.fleet_.size()));
+        cutOffNode.store_.isCutOff_ = true;
         bench.fleet_.pass(milliseconds(random.below(1000)));
         bench.fleet_.platform_.restore(backup);
-        const auto isLeft = [&] { return bench.isUnused("e0") && bench.isUnused("e1"); };
-        bench.pass(milliseconds(random.below(1000)), isLeft, "after the first restore");
+        const auto areUnused = [&] { return bench.isUnused("e0") && bench.isUnused("e1"); };
+        bench.pass(milliseconds(random.below(1000)), areUnused, "after the first restore");
         bench.fleet_.platform_.restore(backup);
-        bench.pass(writtenAgain, isLeft, "after the second restore");
+        bench.pass(rewriteTime, areUnused, "after the second restore");
         bench.fleet_.drain("e0");
-        bench.pass(seconds(1), isLeft, "after the rows were rewritten");
-        late.store_.isCutOff_ = false;
+        bench.pass(seconds(1), areUnused, "after the rows were rewritten");
+        cutOffNode.store_.isCutOff_ = false;
         bench.fleet_.list("e1", "");
-        bench.pass(seconds(6), isLeft, "after all entry VMs reach the store");
-        cr_assert_eq(bench.holders(), 1, "seed %llu", static_cast<unsigned long long>(seed));
+        bench.pass(seconds(6), areUnused, "after all entry VMs reach the store");
+        cr_assert_eq(bench.leaseHolders(), 1, "seed %llu", static_cast<unsigned long long>(seed));
     }
 }
--- a/tests/serving/configuration_exchange.cpp
+++ b/tests/serving/configuration_exchange.cpp
@@ -16,7 +16,7 @@
 const Address peer{"10.0.0.1", 7340};
 const Address self{"10.0.0.2", 7340};
 
-struct Sent final : public DatagramChannel
+struct RecordingChannel final : public DatagramChannel
 {
     void send(const Address &to, std::string_view text) override { all_.emplace_back(to, text); }
     void onReceived(std::function<void(std::string_view)> /*handler*/) override {}
@@ -24,9 +24,9 @@
     std::vector<std::pair<Address, std::string>> all_;
 };
 
-struct Side
+struct Participant
 {
-    explicit Side(const Address &address)
+    explicit Participant(const Address &address)
         : exchange_(sent_, address, Random(1))
     {
     }
@@ -37,7 +37,7 @@
         exchange_.answer(wanted, ample, start);
     }
 
-    Sent sent_;
+    RecordingChannel sent_;
     ConfigurationExchange exchange_;
 };
 
@@ -51,9 +51,9 @@
 
 } // namespace
 
-Test(configuration_exchange, peers_are_asked_only_if_the_store_does_not_answer_in_time)
+Test(configuration_exchange, peers_are_asked_only_if_the_store_does_not_respond_in_time)
 {
-    Side side(self);
+    Participant side(self);
     side.exchange_.setCurrent(ConfigVersion(3), "old");
     side.exchange_.heardOf(ConfigVersion(3), {peer}, start);
     side.exchange_.heardOf(ConfigVersion(4), {peer}, start);
@@ -68,34 +68,34 @@
     cr_assert_eq(side.sent_.all_.size(), count);
 }
 
-Test(configuration_exchange, whole_text_arrives_in_parts_of_any_order_and_from_several_answers)
+Test(configuration_exchange, text_is_assembled_from_parts_in_any_order)
 {
-    Side giver(peer);
-    giver.exchange_.setCurrent(ConfigVersion(4), longText());
-    giver.answer({self, ConfigVersion(3), {}, {}});
-    auto parts = giver.sent_.all_;
+    Participant sender(peer);
+    sender.exchange_.setCurrent(ConfigVersion(4), longText());
+    sender.answer({self, ConfigVersion(3), {}, {}});
+    auto parts = sender.sent_.all_;
     cr_assert_gt(parts.size(), 10);
     std::reverse(parts.begin(), parts.end());
     const auto lost = parts.back();
     parts.back() = parts.front();
     parts.push_back(lost);
-    Side taker(self);
-    taker.exchange_.setCurrent(ConfigVersion(3), "old");
+    Participant receiver(self);
+    receiver.exchange_.setCurrent(ConfigVersion(3), "old");
     std::optional<std::pair<ConfigVersion, std::string>> whole;
     for (const auto &[to, text] : parts) {
         cr_assert(to == self);
         cr_assert_lt(text.size(), 16'000);
         cr_assert_not(whole);
-        whole = taker.exchange_.take(*decodeConfigurationPart(text));
+        whole = receiver.exchange_.take(*decodeConfigurationPart(text));
     }
     cr_assert(whole);
     cr_assert_eq(whole->first, ConfigVersion(4));
     cr_assert_eq(whole->second, longText());
 }
 
-Test(configuration_exchange, older_versions_are_neither_told_nor_taken)
+Test(configuration_exchange, older_versions_are_neither_sent_nor_accepted)
 {
-    Side side(self);
+    Participant side(self);
     side.exchange_.setCurrent(ConfigVersion(4), "text");
     side.answer({peer, ConfigVersion(4), {}, {}});
     cr_assert(side.sent_.all_.empty());
@@ -103,7 +103,7 @@
     cr_assert_not(side.exchange_.take({ConfigVersion(3), 0, 1, "older"}));
 }
 
-Test(configuration_exchange, message_that_does_not_fit_is_no_part)
+Test(configuration_exchange, invalid_parts_are_rejected)
 {
     for (const auto &part : {ConfigurationPart{ConfigVersion(4), 2, 2, "x"},
                              ConfigurationPart{ConfigVersion(4), 0, 0, "x"},
--- a/tests/serving/store_watch.cpp
+++ b/tests/serving/store_watch.cpp
@@ -98,7 +98,7 @@
 
 } // namespace
 
-Test(store_watch, answer_with_changes_confirms_when_the_call_was_sent)
+Test(store_watch, response_with_changes_confirms_the_time_of_its_call)
 {
     Bench bench;
     const auto sent = bench.clock_.now();
@@ -108,7 +108,7 @@
     cr_assert_eq(bench.store_.queries_.size(), 1);
 }
 
-Test(store_watch, empty_answer_confirms_the_end_of_its_wait)
+Test(store_watch, empty_response_confirms_the_end_of_its_wait)
 {
     Bench bench;
     const auto sent = bench.clock_.now();
@@ -117,7 +117,7 @@
     cr_assert(bench.listener_.confirmed_ == sent + seconds(1));
 }
 
-Test(store_watch, lost_history_is_listed_anew)
+Test(store_watch, table_is_listed_again_if_the_history_is_lost)
 {
     Bench bench;
     bench.answer(Error(NotFound{"history"}));
@@ -127,7 +127,7 @@
     cr_assert_eq(bench.store_.queries_.back().first.after_, RowVersion(12));
 }
 
-Test(store_watch, two_failures_in_a_row_are_an_outage_that_ends_with_the_next_answer)
+Test(store_watch, two_consecutive_failures_are_an_outage_until_the_next_response)
 {
     Bench bench;
     bench.answer(Error(StoreUnavailable{"changes", "503"}));
@@ -140,7 +140,7 @@
     cr_assert(bench.listener_.isReachable_);
 }
 
-Test(store_watch, what_was_passed_on_is_not_undone_by_an_older_answer)
+Test(store_watch, relayed_changes_are_not_undone_by_an_older_response)
 {
     Bench bench;
     cr_assert(bench.watch_.applyRelayed(RowVersion(10), RowVersion(12), RowVersion(12))
@@ -151,7 +151,7 @@
     cr_assert_eq(bench.watch_.version(), RowVersion(12));
 }
 
-Test(store_watch, writes_to_other_tables_are_no_change)
+Test(store_watch, writes_to_other_tables_do_not_count_as_changes)
 {
     Bench bench;
     bench.answer(platform::ChangePage{{change(11)}, RowVersion(40)});
@@ -159,7 +159,7 @@
     cr_assert_eq(bench.watch_.version(), RowVersion(40));
 }
 
-Test(store_watch, changes_with_a_gap_before_them_are_left_out)
+Test(store_watch, relayed_changes_after_a_gap_are_rejected)
 {
     Bench bench;
     cr_assert_not(bench.watch_.applyRelayed(RowVersion(12), RowVersion(13), RowVersion(13)));
@@ -167,7 +167,7 @@
     cr_assert_eq(bench.watch_.version(), RowVersion(10));
 }
 
-Test(store_watch, watch_that_is_not_active_asks_only_when_told_to)
+Test(store_watch, inactive_watch_sends_calls_only_on_catch_up)
 {
     Bench bench;
     bench.watch_.setActive(false);
@@ -179,7 +179,7 @@
     cr_assert_eq(bench.store_.queries_.front().first.wait_, Duration::zero());
 }
 
-Test(store_watch, pauses_after_failures_grow_up_to_what_is_set)
+Test(store_watch, retry_delays_grow_up_to_the_configured_maximum)
 {
     Bench bench;
     bench.watch_.setMaxRetryDelay(milliseconds(2500));
@@ -216,7 +216,7 @@
     cr_assert(bench.store_.queries_.empty());
 }
 
-Test(store_watch, reader_that_hears_of_a_newer_version_does_not_wait_for_its_pause)
+Test(store_watch, catch_up_ends_the_pause_after_changes)
 {
     Bench bench;
     bench.watch_.setPause(seconds(1));
--- a/tests/serving/tables.cpp
+++ b/tests/serving/tables.cpp
@@ -41,7 +41,7 @@
     cr_assert_null(chooseBackend(route, 0));
 }
 
-Test(endpoint_book, entry_that_vanishes_after_an_outage_has_a_grace)
+Test(endpoint_book, entry_missing_after_an_outage_has_a_grace_period)
 {
     EndpointBook book;
     const TimePoint now{seconds(100)};
@@ -58,7 +58,7 @@
     cr_assert_null(book.find(VmId("b")));
 }
 
-Test(endpoint_book, entry_that_vanishes_otherwise_is_gone_at_once)
+Test(endpoint_book, entry_removed_otherwise_is_gone_immediately)
 {
     EndpointBook book;
     book.put(spareEngine("a", "d"));
@@ -86,7 +86,7 @@
     cr_assert(book.find(VmId("f"))->model_.isEmpty());
 }
 
-Test(load_board, counts_of_silent_peers_lapse)
+Test(load_board, loads_of_silent_peers_expire)
 {
     LoadBoard board;
     const VmId endpoint("e");
@@ -98,7 +98,7 @@
     cr_assert_eq(board.total(endpoint), 1);
 }
 
-Test(load_board, unread_tokens_of_all_entry_vms_are_read_at_the_expected_rate)
+Test(load_board, unprocessed_tokens_of_all_entry_vms_decrease_at_the_expected_rate)
 {
     LoadBoard board;
     const VmId endpoint("e");
@@ -138,7 +138,7 @@
     cr_assert_not(board.isUsable(endpoint, now));
 }
 
-Test(load_board, endpoint_that_fails_again_and_again_is_avoided_for_longer)
+Test(load_board, endpoint_that_fails_repeatedly_is_avoided_for_longer)
 {
     LoadBoard board;
     const VmId endpoint("e");
@@ -153,7 +153,7 @@
     cr_assert_not(board.isUsable(endpoint, now + milliseconds(900)));
 }
 
-Test(peer_digests, digest_survives_the_way)
+Test(peer_digests, digest_round_trips)
 {
     LoadDigest digest;
     digest.from_ = EntryId("entry-1");
@@ -172,7 +172,7 @@
     cr_assert(*decoded == digest);
 }
 
-Test(peer_digests, summary_survives_the_way)
+Test(peer_digests, summary_round_trips)
 {
     LoadSummary summary;
     summary.sum_.from_ = EntryId("entry-1");
@@ -187,7 +187,7 @@
     cr_assert_not(decodeLoadSummary("{\"method\":\"summary\",\"params\":{\"sum\":{}}}"));
 }
 
-Test(peer_digests, alarm_survives_the_way)
+Test(peer_digests, alarm_round_trips)
 {
     const SilenceAlarm alarm{EntryId("entry-1"), {VmId("s"), VmId("t")}};
     const auto decoded = decodeSilenceAlarm(encode(alarm));
@@ -196,14 +196,14 @@
     cr_assert_not(decodeLoadDigest(encode(alarm)));
 }
 
-Test(peer_digests, anything_else_is_no_digest)
+Test(peer_digests, other_messages_are_not_digests)
 {
     for (const auto *text : {"", "{", "[]", "{\"method\":\"load\"}", "{\"method\":1,\"params\":{}}",
                              "{\"method\":\"load\",\"params\":{\"from\":7}}"})
         cr_assert_not(decodeLoadDigest(text));
 }
 
-Test(peer_digests, changes_that_are_passed_on_fit_into_datagrams_and_follow_each_other)
+Test(peer_digests, relayed_changes_fit_into_datagrams_and_are_contiguous)
 {
     EndpointRelay relay{RowVersion(4), RowVersion(20), {}};
     for (std::uint64_t version = 5; version <= 20; ++version) {
@@ -231,7 +231,7 @@
     cr_assert(changes == relay.changes_);
 }
 
-Test(peer_digests, entry_with_other_parts_is_not_taken_for_the_end_of_an_endpoint)
+Test(peer_digests, malformed_relayed_entry_is_not_decoded_as_a_removal)
 {
     const auto relayed = [](const std::string &entry) {
         return decodeEndpointRelay(R"({"jsonrpc":"2.0","method":"endpoints","params":{"after":4,)"
@@ -244,7 +244,7 @@
     cr_assert_not(relayed(R"(["i",5,"lm","10.0.0.9:80","a","d",26,false,"m",["m"],"m.1",1,0,2])"));
 }
 
-Test(engine_model, pause_grows_with_the_batch_and_reading_with_the_prompt)
+Test(engine_model, event_gap_grows_with_the_batch_and_prefill_with_the_prompt)
 {
     const auto profile = *gatewayConfiguration().services_.front().engine_;
     const EngineModel model(profile, profile.models_.front());
@@ -253,7 +253,7 @@
     cr_assert_geq(model.longestPause(), model.pauseBetweenEvents(profile.slots_, 1500));
 }
 
-Test(gateway_settings, wrong_values_are_refused_with_place_and_remedy)
+Test(gateway_settings, invalid_values_are_rejected_with_position_and_remedy)
 {
     const auto parsed = parseGatewaySettings("entry = \"e\"\nzone = \"z\"\ncharts = 7\n", "s.toml");
     cr_assert_not(isOk(parsed));
