--- a/tests/adapter/formats.cpp
+++ b/tests/adapter/formats.cpp
@@ -134,7 +134,7 @@
 /// A valid engine entry with \p field set to the JSON \p value, or omitted if \p value is empty.
 std::string entryWith(const std::string &field, const std::string &value)
 {
-    const std::vector<std::pair<std::string, std::string>> whole{
+    const std::vector<std::pair<std::string, std::string>> validFields{
         {"Service", R"("lm")"},
         {"Address", R"("10.1.0.9:8080")"},
         {"Zone", R"("z")"},
@@ -149,8 +149,8 @@
         {"born", "1790000000123"},
         {"group", R"({"Name":"m.3","epoch":3,"rank":1,"State":"ready"})"}};
     std::string result;
-    for (const auto &[name, usual] : whole) {
-        const auto &text = name == field ? value : usual;
+    for (const auto &[name, validValue] : validFields) {
+        const auto &text = name == field ? value : validValue;
         if (!text.empty())
             result += (result.empty() ? "{\"" : ",\"") + name + "\":" + text;
     }
--- a/tests/serving/configuration_exchange.cpp
+++ b/tests/serving/configuration_exchange.cpp
@@ -81,16 +81,16 @@
     parts.push_back(lost);
     Participant receiver(self);
     receiver.exchange_.setCurrent(ConfigVersion(3), "old");
-    std::optional<std::pair<ConfigVersion, std::string>> whole;
+    std::optional<std::pair<ConfigVersion, std::string>> assembled;
     for (const auto &[to, text] : parts) {
         cr_assert(to == self);
         cr_assert_lt(text.size(), 16'000);
-        cr_assert_not(whole);
-        whole = receiver.exchange_.take(*decodeConfigurationPart(text));
+        cr_assert_not(assembled);
+        assembled = receiver.exchange_.take(*decodeConfigurationPart(text));
     }
-    cr_assert(whole);
-    cr_assert_eq(whole->first, ConfigVersion(4));
-    cr_assert_eq(whole->second, longText());
+    cr_assert(assembled);
+    cr_assert_eq(assembled->first, ConfigVersion(4));
+    cr_assert_eq(assembled->second, longText());
 }
 
 Test(configuration_exchange, older_versions_are_neither_sent_nor_accepted)
