--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -207,7 +207,6 @@
 #include <cardamombay/serving/peer_digests.hpp>
 #include <cardamombay/serving/planner_lease.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
-#include <cardamombay/serving/repeat_window.hpp>
 #include <cardamombay/serving/replica_manager.hpp>
 #include <cardamombay/serving/replica_orders.hpp>
 #include <cardamombay/serving/replica_planner.hpp>
@@ -217,6 +216,7 @@
 #include <cardamombay/serving/reservation_book.hpp>
 #include <cardamombay/serving/reservation_desk.hpp>
 #include <cardamombay/serving/reservation_messages.hpp>
+#include <cardamombay/serving/retry_window.hpp>
 #include <cardamombay/serving/roster.hpp>
 #include <cardamombay/serving/route_table.hpp>
 #include <cardamombay/serving/send_budget.hpp>
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -17,8 +17,8 @@
 #include <cardamombay/serving/failure_blame.hpp>
 #include <cardamombay/serving/gateway_metrics.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
-#include <cardamombay/serving/repeat_window.hpp>
 #include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/retry_window.hpp>
 
 #include <map>
 #include <memory>
@@ -92,9 +92,9 @@
     /// \brief Entry VMs that share the fleet's retries, self included.
     void setEntryCount(std::size_t count);
     /// \brief What the other entry VMs counted in the last window, as they told last.
-    void setOthersRepeats(std::map<ServiceName, RepeatCounts> counts);
+    void setPeerRetries(std::map<ServiceName, RetryCounts> counts);
     /// \brief What was counted here, for the others.
-    [[nodiscard]] std::map<ServiceName, RepeatCounts> repeatCounts(TimePoint now);
+    [[nodiscard]] std::map<ServiceName, RetryCounts> retryCounts(TimePoint now);
     void setBounds(const GatewayBounds &bounds);
     /// \}
 
@@ -160,7 +160,7 @@
     void endpointCrashed(const EndpointCrash &crash);
     void requestQuarantined(const PoisonVerdict &verdict);
     void retryHeld(std::vector<std::shared_ptr<Session>> &sessions);
-    [[nodiscard]] RepeatBound repeatBound() const;
+    [[nodiscard]] RetryBound repeatBound() const;
     [[nodiscard]] std::optional<double> fleetLeft(const ServiceName &service, double margin,
                                                   TimePoint now);
     [[nodiscard]] bool othersLeaveRepeats(const ServiceName &service, TimePoint now);
@@ -176,8 +176,8 @@
     TimePoint endpointsConfirmedAt_{};
     TimePoint sweptAt_{};
     std::map<ModelName, double> demand_;
-    std::unordered_map<ServiceName, RepeatWindow> repeats_;
-    std::map<ServiceName, RepeatCounts> othersRepeats_;
+    std::unordered_map<ServiceName, RetryWindow> retries_;
+    std::map<ServiceName, RetryCounts> othersRepeats_;
     std::map<ServiceName, double> extraRepeats_; ///< Taken since the others' counts came.
     FailureBlame failureBlame_;
     CrashDetector crashDetector_;
--- a/include/cardamombay/serving/gateway_metrics.hpp
+++ b/include/cardamombay/serving/gateway_metrics.hpp
@@ -16,7 +16,7 @@
     metrics::Counter refused_; ///< Not run, and said so.
     metrics::Counter failed_;  ///< Outcome unknown or broken off.
     metrics::Counter callerLeft_;
-    metrics::Counter repeats_;
+    metrics::Counter retries_;
     metrics::Counter stalls_;          ///< Attempts ended since the endpoint was silent.
     metrics::Counter endpointCrashes_; ///< Endpoints that ended under requests from here.
     metrics::Counter quarantined_;     ///< Requests refused since they end endpoints.
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -139,7 +139,7 @@
     void summaryArrived(LoadSummary summary);
     void takeLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now);
     [[nodiscard]] std::size_t entriesIn(const AvailabilityZone &zone) const;
-    [[nodiscard]] std::map<ServiceName, RepeatCounts> othersRepeats() const;
+    [[nodiscard]] std::map<ServiceName, RetryCounts> othersRepeats() const;
     [[nodiscard]] std::vector<Address> relayTargets() const;
     void passOn(EndpointRelay relay, const std::vector<Address> &targets);
     void followRelay(const RelayState &relay, const Address &source, TimePoint now);
@@ -174,8 +174,8 @@
         Address address_;
         AvailabilityZone zone_;
         EntryCapacity capacity_ = 0;
-        std::map<ModelName, double> demand_;          ///< As told directly.
-        std::map<ServiceName, RepeatCounts> repeats_; ///< As told directly.
+        std::map<ModelName, double> demand_;         ///< As told directly.
+        std::map<ServiceName, RetryCounts> retries_; ///< As told directly.
         TimePoint heardAt_{};
     };
     [[nodiscard]] TimePoint lastWordOf(const Peer &peer) const;
@@ -191,7 +191,7 @@
     struct Sum
     {
         std::map<ModelName, double> demand_;
-        std::map<ServiceName, RepeatCounts> repeats_;
+        std::map<ServiceName, RetryCounts> retries_;
         TimePoint at_{};
     };
 
--- a/include/cardamombay/serving/peer_digests.hpp
+++ b/include/cardamombay/serving/peer_digests.hpp
@@ -13,7 +13,7 @@
 #include <cardamombay/serving/evacuations.hpp>
 #include <cardamombay/serving/peer_clocks.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
-#include <cardamombay/serving/repeat_window.hpp>
+#include <cardamombay/serving/retry_window.hpp>
 
 #include <functional>
 #include <map>
@@ -54,10 +54,10 @@
     /// Entry VMs to which an endpoint has sent something just now.
     std::unordered_map<VmId, std::size_t> heard_;
     std::map<ModelName, double> demand_; ///< Its requests a second by model, times their work.
-    std::map<ServiceName, RepeatCounts> repeats_; ///< Of the last window.
-    PoisonNews poison_;                           ///< Requests that end endpoints.
-    std::vector<LimitNews> limits_;               ///< That endpoints named.
-    std::vector<CooldownNews> cooldowns_;         ///< That endpoints named to it.
+    std::map<ServiceName, RetryCounts> retries_; ///< Of the last window.
+    PoisonNews poison_;                          ///< Requests that end endpoints.
+    std::vector<LimitNews> limits_;              ///< That endpoints named.
+    std::vector<CooldownNews> cooldowns_;        ///< That endpoints named to it.
     bool isDraining_ = false;
 
     friend bool operator==(const LoadDigest &, const LoadDigest &) = default;
--- a/include/cardamombay/serving/repeat_window.hpp
+++ b/include/cardamombay/serving/retry_window.hpp
@@ -13,7 +13,7 @@
 namespace cardamombay::serving {
 
 /// \brief Bound of a window.
-struct RepeatBound
+struct RetryBound
 {
     double share_ = 0;   ///< Repeats allowed for each request of the window.
     double reserve_ = 0; ///< Repeats allowed in a window at any rate of requests.
@@ -21,29 +21,29 @@
 };
 
 /// \brief What was counted in a window.
-struct RepeatCounts
+struct RetryCounts
 {
     double requests_ = 0;
-    double repeats_ = 0;
+    double retries_ = 0;
 
-    friend bool operator==(const RepeatCounts &, const RepeatCounts &) = default;
+    friend bool operator==(const RetryCounts &, const RetryCounts &) = default;
 };
 
 /// \brief Requests and repeats of the last window, in slices.
-class RepeatWindow
+class RetryWindow
 {
 public:
-    void countRequest(const RepeatBound &bound, TimePoint now);
+    void countRequest(const RetryBound &bound, TimePoint now);
 
     /// \brief What was counted here in the window that ends at \p now.
-    [[nodiscard]] RepeatCounts counts(const RepeatBound &bound, TimePoint now);
+    [[nodiscard]] RetryCounts counts(const RetryBound &bound, TimePoint now);
 
     /// \brief Counts a repeat if it is within \p bound.
     /// \returns false if it is not; nothing is counted then.
-    [[nodiscard]] bool take(const RepeatBound &bound, TimePoint now);
+    [[nodiscard]] bool take(const RetryBound &bound, TimePoint now);
 
     /// \brief Counts a repeat that is beyond \p bound, since others have left theirs.
-    void takeExtra(const RepeatBound &bound, TimePoint now);
+    void takeExtra(const RetryBound &bound, TimePoint now);
 
 private:
     static constexpr std::size_t sliceCount = 20;
@@ -51,10 +51,10 @@
     struct Slice
     {
         std::int64_t number_ = -1; ///< Of the slice of time that the counts are for.
-        RepeatCounts counts_;
+        RetryCounts counts_;
     };
 
-    Slice &sliceAt(const RepeatBound &bound, TimePoint now);
+    Slice &sliceAt(const RetryBound &bound, TimePoint now);
 
     std::array<Slice, sliceCount> slices_{};
 };
--- a/src/serving/digest_hub.cpp
+++ b/src/serving/digest_hub.cpp
@@ -59,12 +59,12 @@
         into[key] += count;
 }
 
-void addRepeats(std::map<ServiceName, RepeatCounts> &into,
-                const std::map<ServiceName, RepeatCounts> &counts)
+void addRepeats(std::map<ServiceName, RetryCounts> &into,
+                const std::map<ServiceName, RetryCounts> &counts)
 {
     for (const auto &[service, one] : counts) {
         into[service].requests_ += one.requests_;
-        into[service].repeats_ += one.repeats_;
+        into[service].retries_ += one.retries_;
     }
 }
 
@@ -188,7 +188,7 @@
         addCounts(sum.underWay_, last.underWay_);
         addCounts(sum.heard_, last.heard_);
         addCounts(sum.demand_, last.demand_);
-        addRepeats(sum.repeats_, last.repeats_);
+        addRepeats(sum.retries_, last.retries_);
         mergeNews(sum.poison_, last.poison_);
         mergeNews(sum.limits_, aged(last.limits_, now - source.heardAt_));
         mergeNews(sum.cooldowns_, last.cooldowns_, now - source.heardAt_);
@@ -229,12 +229,12 @@
         if (found != result.demand_.end())
             found->second = std::max(0.0, found->second - demand);
     }
-    for (const auto &[service, own] : told.repeats_) {
-        const auto found = result.repeats_.find(service);
-        if (found == result.repeats_.end())
+    for (const auto &[service, own] : told.retries_) {
+        const auto found = result.retries_.find(service);
+        if (found == result.retries_.end())
             continue;
         found->second.requests_ = std::max(0.0, found->second.requests_ - own.requests_);
-        found->second.repeats_ = std::max(0.0, found->second.repeats_ - own.repeats_);
+        found->second.retries_ = std::max(0.0, found->second.retries_ - own.retries_);
     }
     for (auto &[endpoint, tokens] : result.sent_) {
         const auto own = told.sent_.find(endpoint);
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -216,9 +216,9 @@
 }
 
 /// The entry VMs share the fleet's reserve evenly; each earns its own share of its requests.
-RepeatBound Gateway::repeatBound() const
+RetryBound Gateway::repeatBound() const
 {
-    RepeatBound bound;
+    RetryBound bound;
     bound.share_ = bounds_.retryShare_ * budgetMargin;
     bound.reserve_ = bounds_.retryReserve_ * budgetMargin / static_cast<double>(entryCount_);
     bound.window_ = bounds_.retryWindow_;
@@ -227,7 +227,7 @@
 
 void Gateway::countRequest(const Service &service, const CallerHead &head)
 {
-    repeats_[service.name_].countRequest(repeatBound(), parts_.clock_.now());
+    retries_[service.name_].countRequest(repeatBound(), parts_.clock_.now());
     if (!service.engine_)
         return;
     if (const auto *model = service.engine_->model(head.model_))
@@ -235,16 +235,16 @@
                                                .groupTime(head.promptTokens_, likelyAnswer(head)));
 }
 
-void Gateway::setOthersRepeats(std::map<ServiceName, RepeatCounts> counts)
+void Gateway::setPeerRetries(std::map<ServiceName, RetryCounts> counts)
 {
     othersRepeats_ = std::move(counts);
     extraRepeats_.clear();
 }
 
-std::map<ServiceName, RepeatCounts> Gateway::repeatCounts(TimePoint now)
+std::map<ServiceName, RetryCounts> Gateway::retryCounts(TimePoint now)
 {
-    std::map<ServiceName, RepeatCounts> result;
-    for (auto &[service, window] : repeats_)
+    std::map<ServiceName, RetryCounts> result;
+    for (auto &[service, window] : retries_)
         result.emplace(service, window.counts(repeatBound(), now));
     return result;
 }
@@ -256,9 +256,9 @@
     const auto others = othersRepeats_.find(service);
     if (others == othersRepeats_.end())
         return std::nullopt;
-    const auto own = repeats_[service].counts(repeatBound(), now);
+    const auto own = retries_[service].counts(repeatBound(), now);
     const auto requests = own.requests_ + others->second.requests_;
-    const auto repeats = own.repeats_ + others->second.repeats_;
+    const auto repeats = own.retries_ + others->second.retries_;
     return (requests * bounds_.retryShare_ + bounds_.retryReserve_) * margin - repeats;
 }
 
@@ -279,14 +279,14 @@
     const auto left = fleetLeft(service, fleetMargin, now);
     if (left && *left < 1)
         return false;
-    bool may = repeats_[service].take(repeatBound(), now);
+    bool may = retries_[service].take(repeatBound(), now);
     if (!may && othersLeaveRepeats(service, now)) {
-        repeats_[service].takeExtra(repeatBound(), now);
+        retries_[service].takeExtra(repeatBound(), now);
         extraRepeats_[service] += 1;
         may = true;
     }
     if (may)
-        parts_.metrics_.repeats_.increment();
+        parts_.metrics_.retries_.increment();
     return may;
 }
 
--- a/src/serving/gateway_metrics.cpp
+++ b/src/serving/gateway_metrics.cpp
@@ -20,7 +20,7 @@
                                "Requests whose outcome is unknown or that were broken off."))
     , callerLeft_(registry.counter("cardamombay_gateway_caller_left_total",
                                    "Requests whose caller left before the end."))
-    , repeats_(registry.counter("cardamombay_gateway_repeats_total",
+    , retries_(registry.counter("cardamombay_gateway_repeats_total",
                                 "Attempts beyond the first of a request."))
     , stalls_(registry.counter("cardamombay_gateway_stalls_total",
                                "Attempts ended because the endpoint was silent."))
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -51,7 +51,7 @@
     forgetSilent(now);
     chooseWatches(now);
     lookForPeers(now);
-    parts_.gateway_.setOthersRepeats(othersRepeats());
+    parts_.gateway_.setPeerRetries(othersRepeats());
     parts_.clock_.schedule(digestPeriod, [this, alive = std::weak_ptr(isAlive_)] {
         if (!alive.expired())
             tickDigest();
@@ -71,7 +71,7 @@
     digest.silent_ = parts_.board_.silentHere();
     digest.heard_ = parts_.board_.heardHere(now);
     digest.demand_ = ownDemand_;
-    digest.repeats_ = parts_.gateway_.repeatCounts(now);
+    digest.retries_ = parts_.gateway_.retryCounts(now);
     digest.poison_ = parts_.gateway_.poisonPills().news(now);
     auto &reservations = parts_.gateway_.reservations();
     digest.limits_ = parts_.gateway_.limits().news(
@@ -128,7 +128,7 @@
     sums_.clear();
     for (auto &[entry, peer] : peers_) {
         peer.demand_.clear();
-        peer.repeats_.clear();
+        peer.retries_.clear();
     }
     log::info(event::reporterChanged, {{"reporter", reporter_  ? reporter_->text()
                                                     : isNeeded ? "self"
@@ -201,7 +201,7 @@
 /// News of several entry VMs.
 void Node::takeLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now)
 {
-    sums_[from] = {std::move(sum.demand_), std::move(sum.repeats_), now};
+    sums_[from] = {std::move(sum.demand_), std::move(sum.retries_), now};
     parts_.board_.setPeerLoad(from.text(),
                               {std::move(sum.underWay_), std::move(sum.sent_),
                                std::move(sum.silent_), now, entries, std::move(sum.heard_)});
@@ -214,21 +214,21 @@
                       [&zone](const auto &one) { return one.second.zone_ == zone; }));
 }
 
-std::map<ServiceName, RepeatCounts> Node::othersRepeats() const
+std::map<ServiceName, RetryCounts> Node::othersRepeats() const
 {
-    std::map<ServiceName, RepeatCounts> result;
-    const auto add = [&result](const std::map<ServiceName, RepeatCounts> &counts) {
+    std::map<ServiceName, RetryCounts> result;
+    const auto add = [&result](const std::map<ServiceName, RetryCounts> &counts) {
         for (const auto &[service, one] : counts) {
             result[service].requests_ += one.requests_;
-            result[service].repeats_ += one.repeats_;
+            result[service].retries_ += one.retries_;
         }
     };
     for (const auto &[entry, sum] : sums_)
-        add(sum.repeats_);
+        add(sum.retries_);
     if (reporter_)
         return result; // The reporter's sums hold all peers.
     for (const auto &[entry, peer] : peers_)
-        add(peer.repeats_);
+        add(peer.retries_);
     return result;
 }
 
@@ -306,7 +306,7 @@
         return; // The reporter's sums hold it.
     auto &peer = peers_[digest.from_];
     peer.demand_ = std::move(digest.demand_);
-    peer.repeats_ = std::move(digest.repeats_);
+    peer.retries_ = std::move(digest.retries_);
     parts_.board_.setPeerLoad(digest.from_.text(),
                               {std::move(digest.underWay_), std::move(digest.sent_),
                                std::move(digest.silent_), now, 1, std::move(digest.heard_)});
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -133,17 +133,17 @@
     return relay;
 }
 
-json::object repeatsObject(const std::map<ServiceName, RepeatCounts> &repeats)
+json::object repeatsObject(const std::map<ServiceName, RetryCounts> &repeats)
 {
     json::object result;
     for (const auto &[service, counts] : repeats)
-        result[service.text()] = json::array{counts.requests_, counts.repeats_};
+        result[service.text()] = json::array{counts.requests_, counts.retries_};
     return result;
 }
 
-std::map<ServiceName, RepeatCounts> repeatsIn(const json::value *value)
+std::map<ServiceName, RetryCounts> repeatsIn(const json::value *value)
 {
-    std::map<ServiceName, RepeatCounts> result;
+    std::map<ServiceName, RetryCounts> result;
     const auto *object = value == nullptr ? nullptr : value->if_object();
     if (object == nullptr)
         return result;
@@ -174,7 +174,7 @@
                         {"loads", loadsOf(digest)},
                         {"silent", namesOf(digest.silent_)},
                         {"demand", std::move(demand)},
-                        {"repeats", repeatsObject(digest.repeats_)},
+                        {"repeats", repeatsObject(digest.retries_)},
                         {"draining", digest.isDraining_},
                         {"endpoints", digest.endpoints_.value()}};
     if (!digest.poison_.isEmpty())
@@ -202,7 +202,7 @@
     digest.endpoints_ = RowVersion(numberIn(params, "endpoints"));
     readLoads(params.if_contains("loads"), digest);
     readDemand(params.if_contains("demand"), digest.demand_);
-    digest.repeats_ = repeatsIn(params.if_contains("repeats"));
+    digest.retries_ = repeatsIn(params.if_contains("repeats"));
     digest.silent_ = endpointsIn(params.if_contains("silent"));
     digest.poison_ = poisonIn(params.if_contains("poison"));
     digest.limits_ = limitsIn(params.if_contains("limits"));
--- a/src/serving/repeat_window.cpp
+++ b/src/serving/retry_window.cpp
@@ -1,8 +1,8 @@
-#include <cardamombay/serving/repeat_window.hpp>
+#include <cardamombay/serving/retry_window.hpp>
 
 namespace cardamombay::serving {
 
-RepeatWindow::Slice &RepeatWindow::sliceAt(const RepeatBound &bound, TimePoint now)
+RetryWindow::Slice &RetryWindow::sliceAt(const RetryBound &bound, TimePoint now)
 {
     const auto length = bound.window_ / static_cast<std::int64_t>(sliceCount);
     const std::int64_t number = now.time_since_epoch() / length;
@@ -12,36 +12,36 @@
     return slice;
 }
 
-void RepeatWindow::countRequest(const RepeatBound &bound, TimePoint now)
+void RetryWindow::countRequest(const RetryBound &bound, TimePoint now)
 {
     sliceAt(bound, now).counts_.requests_ += 1;
 }
 
-RepeatCounts RepeatWindow::counts(const RepeatBound &bound, TimePoint now)
+RetryCounts RetryWindow::counts(const RetryBound &bound, TimePoint now)
 {
     const auto present = sliceAt(bound, now).number_;
-    RepeatCounts result;
+    RetryCounts result;
     for (const auto &slice : slices_) {
         if (slice.number_ <= present - static_cast<std::int64_t>(sliceCount))
             continue;
         result.requests_ += slice.counts_.requests_;
-        result.repeats_ += slice.counts_.repeats_;
+        result.retries_ += slice.counts_.retries_;
     }
     return result;
 }
 
-bool RepeatWindow::take(const RepeatBound &bound, TimePoint now)
+bool RetryWindow::take(const RetryBound &bound, TimePoint now)
 {
     const auto counted = counts(bound, now);
-    if (counted.repeats_ + 1 > counted.requests_ * bound.share_ + bound.reserve_)
+    if (counted.retries_ + 1 > counted.requests_ * bound.share_ + bound.reserve_)
         return false;
-    sliceAt(bound, now).counts_.repeats_ += 1;
+    sliceAt(bound, now).counts_.retries_ += 1;
     return true;
 }
 
-void RepeatWindow::takeExtra(const RepeatBound &bound, TimePoint now)
+void RetryWindow::takeExtra(const RetryBound &bound, TimePoint now)
 {
-    sliceAt(bound, now).counts_.repeats_ += 1;
+    sliceAt(bound, now).counts_.retries_ += 1;
 }
 
 } // namespace cardamombay::serving
--- a/tests/fuzz/regressions.cpp
+++ b/tests/fuzz/regressions.cpp
@@ -73,7 +73,7 @@
     cr_assert(digest);
     cr_assert_eq(digest->capacity_, 0);
     cr_assert_eq(digest->demand_.size(), 1);
-    cr_assert(digest->repeats_.empty());
+    cr_assert(digest->retries_.empty());
     cr_assert(digest->underWay_.empty());
     cr_assert(serving::decodeLoadDigest(serving::encode(*digest)) == *digest);
 }
--- a/tests/serving/digests.cpp
+++ b/tests/serving/digests.cpp
@@ -32,7 +32,7 @@
     result.zone_ = AvailabilityZone("a");
     result.underWay_ = {{head, underWay}};
     result.sent_ = {{head, sent}};
-    result.repeats_ = {{ServiceName("s"), {10, 1}}};
+    result.retries_ = {{ServiceName("s"), {10, 1}}};
     return result;
 }
 
@@ -77,7 +77,7 @@
     cr_assert_eq(hub.zoneSummary(start).sum_.underWay_.at(head), 3);
     const auto sum = hub.fleetSummary(start).sum_;
     cr_assert_eq(sum.underWay_.at(head), 7);
-    cr_assert_eq(sum.repeats_.at(ServiceName("s")).requests_, 30);
+    cr_assert_eq(sum.retries_.at(ServiceName("s")).requests_, 30);
     cr_assert_eq(hub.roster(true, start).size(), 4);
     cr_assert_eq(hub.roster(false, start).size(), 2);
     cr_assert_eq(hub.members().size(), 1);
@@ -116,7 +116,7 @@
     fleet.since_ = Incarnation(1);
     auto others = reader.others(fleet, digest("self", 2, 3000));
     cr_assert_eq(others.underWay_.at(head), 3);
-    cr_assert_eq(others.repeats_.at(ServiceName("s")).repeats_, 0);
+    cr_assert_eq(others.retries_.at(ServiceName("s")).retries_, 0);
     cr_assert_eq(others.sent_.at(head), 0);
     // 700 more are told by this one, and reach the sum a digest later, with 500 of others.
     others = reader.others(fleet, digest("self", 2, 3700));
--- a/tests/serving/sessions.cpp
+++ b/tests/serving/sessions.cpp
@@ -202,7 +202,7 @@
         bounds.retryReserve_ = 100;
         bench.gateway_.setBounds(bounds);
         bench.gateway_.setEntryCount(5);
-        bench.gateway_.setOthersRepeats({{ServiceName("plain"), {0, othersRepeats}}});
+        bench.gateway_.setPeerRetries({{ServiceName("plain"), {0, othersRepeats}}});
         bench.ask("/again/7");
         const auto before = bench.upstream_.calls_.size();
         bench.lastCall()->connect();
@@ -222,7 +222,7 @@
         bounds.retryReserve_ = 0;
         bench.gateway_.setBounds(bounds);
         bench.gateway_.setEntryCount(5);
-        bench.gateway_.setOthersRepeats({{ServiceName("plain"), {1000, othersRepeats}}});
+        bench.gateway_.setPeerRetries({{ServiceName("plain"), {1000, othersRepeats}}});
         std::size_t repeats = 0;
         for (int i = 0; i < 4; ++i) {
             bench.ask("/again/7");
--- a/tests/serving/tables.cpp
+++ b/tests/serving/tables.cpp
@@ -165,7 +165,7 @@
     digest.address_ = {"10.0.0.1", 7340};
     digest.zone_ = AvailabilityZone("zone-a");
     digest.endpoints_ = RowVersion(8);
-    digest.repeats_ = {{ServiceName("plain"), {40, 3}}};
+    digest.retries_ = {{ServiceName("plain"), {40, 3}}};
     digest.relay_ = RelayState{ConfigVersion(3), milliseconds(40), RowVersion(9), milliseconds(50)};
     const auto decoded = decodeLoadDigest(encode(digest));
     cr_assert(decoded);
