--- a/apps/cardamombay-gateway/gateway_daemon.cpp
+++ b/apps/cardamombay-gateway/gateway_daemon.cpp
@@ -23,16 +23,16 @@
 constexpr std::size_t storeConnections = 8;
 
 /// The balancer leaves an entry VM out after two failed checks, a second apart.
-constexpr Duration announceTime = std::chrono::milliseconds(2600);
+constexpr Duration announcePeriod = std::chrono::milliseconds(2600);
 /// Kept for giving the lease back and for the last answers.
 constexpr Duration stopReserve = std::chrono::milliseconds(900);
 
 /// Callers reuse a connection until shortly before the idle time that operators allow is over; what
 /// is on its way then must still find it open.
-constexpr Duration idleReserve = std::chrono::seconds(2);
+constexpr Duration idleMargin = std::chrono::seconds(2);
 
-constexpr Duration leftPoll = std::chrono::milliseconds(20);
-constexpr int leftTurns = 20;
+constexpr Duration leavePollInterval = std::chrono::milliseconds(20);
+constexpr int maxLeavePolls = 20;
 
 net::HttpClientLimits limitsOf(std::size_t connections)
 {
@@ -46,14 +46,14 @@
     net::HttpServerLimits limits;
     limits.headerBytes_ = declared.headerBytes_;
     limits.bodyBytes_ = declared.bodyBytes_;
-    limits.readTimeout_ = declared.headerTime_ + idleReserve;
-    limits.idleTimeout_ = declared.idleTime_ + idleReserve;
+    limits.readTimeout_ = declared.headerTime_ + idleMargin;
+    limits.idleTimeout_ = declared.idleTime_ + idleMargin;
     limits.endsOnHalfClose_ = true;
     return limits;
 }
 
 /// Start stamp; rises over restarts as far as the time of day does.
-Incarnation startStamp()
+Incarnation makeIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return Incarnation(static_cast<std::uint64_t>(
@@ -62,13 +62,13 @@
 
 std::uint64_t seedOf(const EntryId &entry)
 {
-    return stableHash(entry.text(), startStamp().value());
+    return stableHash(entry.text(), makeIncarnation().value());
 }
 
 settings::DrainTimes drainTimes(Duration grace)
 {
     settings::DrainTimes times;
-    times.announce_ = std::min(announceTime, grace / 2);
+    times.announce_ = std::min(announcePeriod, grace / 2);
     times.inFlight_ = std::max(Duration::zero(), grace - times.announce_ - stopReserve);
     return times;
 }
@@ -171,7 +171,7 @@
     if (!isOk(daemonProgram))
         return errorOf(daemonProgram);
     balancer_.setRegions(settings_.regions_);
-    const auto incarnation = startStamp();
+    const auto incarnation = makeIncarnation();
     lease_ = std::make_unique<leases::LeaseKeeper>(
         clock_, meteredStore_, Random(seedOf(settings_.entry_) + 2), serving::plannerLeaseTimes(),
         settings_.entry_, incarnation, FabricDomain("fleet"), valueOf(std::move(leaseProgram)));
@@ -254,7 +254,7 @@
 {
     log::warning(log::event::drainLimitReached,
                  {{"in-flight", std::to_string(requestsInFlight())}});
-    gateway_.cutAll();
+    gateway_.terminateAll();
 }
 
 void GatewayDaemon::tellPeers()
@@ -264,16 +264,16 @@
 
 void GatewayDaemon::returnLeases(std::function<void()> done)
 {
-    waitUntilLeft(std::move(done), leftTurns);
+    pollUntilLeft(std::move(done), maxLeavePolls);
 }
 
-void GatewayDaemon::waitUntilLeft(std::function<void()> done, int turnsLeft)
+void GatewayDaemon::pollUntilLeft(std::function<void()> done, int pollsLeft)
 {
-    clock_.schedule(leftPoll, [this, done = std::move(done), turnsLeft]() mutable {
-        if (turnsLeft == 0 || node_->hasLeft())
+    clock_.schedule(leavePollInterval, [this, done = std::move(done), pollsLeft]() mutable {
+        if (pollsLeft == 0 || node_->hasLeft())
             done();
         else
-            waitUntilLeft(std::move(done), turnsLeft - 1);
+            pollUntilLeft(std::move(done), pollsLeft - 1);
     });
 }
 
@@ -282,7 +282,7 @@
     signals_.cancel();
     callers_.stopAccepting();
     // The last answers are on their way out.
-    clock_.schedule(leftPoll * 2, [this] { context_.stop(); });
+    clock_.schedule(leavePollInterval * 2, [this] { context_.stop(); });
 }
 
 std::size_t GatewayDaemon::requestsInFlight() const
--- a/apps/cardamombay-gateway/gateway_daemon.hpp
+++ b/apps/cardamombay-gateway/gateway_daemon.hpp
@@ -58,7 +58,7 @@
     [[nodiscard]] Result<Done> listen();
     void waitForSignal();
     void reload();
-    void waitUntilLeft(std::function<void()> done, int turnsLeft);
+    void pollUntilLeft(std::function<void()> done, int pollsLeft);
 
     /// \name Shutdown
     /// \{
--- a/include/cardamombay/serving/crash_detector.hpp
+++ b/include/cardamombay/serving/crash_detector.hpp
@@ -46,11 +46,12 @@
     /// came later.
     void onCrash(std::function<void(const EndpointCrash &)> action)
     {
-        crashed_ = std::move(action);
+        crashCallback_ = std::move(action);
     }
 
     /// \brief An attempt at the endpoint broke before its answer was whole.
-    void attemptBroke(const EndpointLife &endpoint, const Address &address, RequestAtCrash request);
+    void onAttemptBroken(const EndpointLife &endpoint, const Address &address,
+                         RequestAtCrash request);
 
     /// \brief The platform's list says that the endpoint has started anew since.
     void endpointRestarted(const EndpointLife &endpoint);
@@ -60,23 +61,23 @@
 
 private:
     class Probe;
-    enum class Verdict { Open, Ended, Lives };
-    struct Case
+    enum class Verdict { Undecided, Ended, Alive };
+    struct Investigation
     {
         Address address_;
-        TimePoint openedAt_{};
+        TimePoint startedAt_{};
         bool isRestarted_ = false;
-        bool isLookedAtTwice_ = false;
+        bool isProbedTwice_ = false;
         std::unique_ptr<Probe> probe_;
         std::vector<RequestAtCrash> requests_; ///< Not reported yet.
     };
 
-    [[nodiscard]] Verdict verdictOn(Case &one);
+    [[nodiscard]] Verdict evaluate(Investigation &one);
 
     Clock &clock_;
     net::Upstream &upstream_;
-    std::function<void(const EndpointCrash &)> crashed_;
-    std::map<EndpointLife, Case> cases_;
+    std::function<void(const EndpointCrash &)> crashCallback_;
+    std::map<EndpointLife, Investigation> investigations_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/event_scanner.hpp
+++ b/include/cardamombay/serving/event_scanner.hpp
@@ -10,7 +10,7 @@
 namespace cardamombay::serving {
 
 /// \brief The whole events at the start of a piece of a stream.
-struct WholeEvents
+struct CompleteEvents
 {
     std::size_t size_ = 0; ///< Bytes up to the end of the last whole event.
     std::size_t count_ = 0;
@@ -21,6 +21,6 @@
 /// \code
 /// const auto whole = wholeEvents("id: 3\ndata: x\n\nid: 4\nda"); // 15 bytes, last id 3
 /// \endcode
-[[nodiscard]] WholeEvents wholeEvents(std::string_view text);
+[[nodiscard]] CompleteEvents scanCompleteEvents(std::string_view text);
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/failure_blame.hpp
+++ b/include/cardamombay/serving/failure_blame.hpp
@@ -26,7 +26,7 @@
     struct Failures
     {
         std::set<VmId> endpoints_;
-        TimePoint at_{}; ///< The first one.
+        TimePoint firstAt_{}; ///< The first one.
     };
 
     std::unordered_map<RequestFingerprint, Failures> failures_;
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -102,7 +102,7 @@
     /// \{
     void refuseNew() { isRefusing_ = true; }
     /// \brief Ends all requests: what has not run is refused, the rest is broken off.
-    void cutAll();
+    void terminateAll();
 
     /// \brief What endpoints have said of themselves.
     [[nodiscard]] EndpointNotices &notices() { return notices_; }
@@ -120,7 +120,7 @@
     void takePoisonNews(const PoisonNews &news);
     /// \brief Called when an endpoint has ended under requests from here, so that peers hear of it
     /// at once.
-    void onEndpointCrash(std::function<void()> action) { crashSeen_ = std::move(action); }
+    void onEndpointCrash(std::function<void()> action) { crashCallback_ = std::move(action); }
 
     /// \brief An endpoint has started again: what it had of requests is lost, and they go on
     /// elsewhere at once.
@@ -143,11 +143,11 @@
     /// \name For sessions
     /// \{
     [[nodiscard]] GatewayParts &parts() { return parts_; }
-    [[nodiscard]] double draw() { return random_.unit(); }
+    [[nodiscard]] double randomUnit() { return random_.unit(); }
     /// \brief Takes one repeat from this entry VM's part of the fleet's budget.
-    [[nodiscard]] bool mayRepeat(const ServiceName &service);
+    [[nodiscard]] bool takeRetry(const ServiceName &service);
     /// \brief An attempt broke at \p target before its answer was whole.
-    void attemptBroke(const Target &target, RequestAtCrash request);
+    void onAttemptBroken(const Target &target, RequestAtCrash request);
     /// \brief True if a failure of the endpoint's own speaks against it.
     [[nodiscard]] bool blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint);
     void countRequest(const Service &service, const CallerHead &head);
@@ -160,10 +160,10 @@
     void endpointCrashed(const EndpointCrash &crash);
     void requestQuarantined(const PoisonVerdict &verdict);
     void retryHeld(std::vector<std::shared_ptr<Session>> &sessions);
-    [[nodiscard]] RetryBound repeatBound() const;
-    [[nodiscard]] std::optional<double> fleetLeft(const ServiceName &service, double margin,
-                                                  TimePoint now);
-    [[nodiscard]] bool othersLeaveRepeats(const ServiceName &service, TimePoint now);
+    [[nodiscard]] RetryBound retryBound() const;
+    [[nodiscard]] std::optional<double> fleetRetriesLeft(const ServiceName &service, double margin,
+                                                         TimePoint now);
+    [[nodiscard]] bool fleetHasSurplus(const ServiceName &service, TimePoint now);
 
     GatewayParts parts_;
     GatewayBounds bounds_;
@@ -174,11 +174,11 @@
     std::shared_ptr<const RouteTable> routes_;
     TimePoint confirmedAt_{};
     TimePoint endpointsConfirmedAt_{};
-    TimePoint sweptAt_{};
+    TimePoint lastSweepAt_{};
     std::map<ModelName, double> demand_;
     std::unordered_map<ServiceName, RetryWindow> retries_;
-    std::map<ServiceName, RetryCounts> othersRepeats_;
-    std::map<ServiceName, double> extraRepeats_; ///< Taken since the others' counts came.
+    std::map<ServiceName, RetryCounts> peerRetries_;
+    std::map<ServiceName, double> surplusRetries_; ///< Taken since the others' counts came.
     FailureBlame failureBlame_;
     CrashDetector crashDetector_;
     PoisonPills poisonPills_;
@@ -187,9 +187,9 @@
     LowestRate sendRates_;
     ReservationDesk reservations_;
     EndpointGate gate_;
-    std::function<void()> crashSeen_;
+    std::function<void()> crashCallback_;
     std::unordered_map<Session *, std::shared_ptr<Session>> sessions_;
-    std::vector<std::shared_ptr<Session>> ended_;
+    std::vector<std::shared_ptr<Session>> released_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/gateway_metrics.hpp
+++ b/include/cardamombay/serving/gateway_metrics.hpp
@@ -39,8 +39,8 @@
     /// Seconds since the store confirmed what is known of the endpoints, at each send.
     metrics::Histogram endpointsAge_;
     metrics::Histogram firstByte_; ///< Seconds from the request to the first event or the answer.
-    metrics::Histogram pause_;     ///< Seconds between two events.
-    metrics::Histogram whole_;     ///< Seconds from the request to the end of its answer.
+    metrics::Histogram eventGap_;  ///< Seconds between two events.
+    metrics::Histogram answerDuration_; ///< Seconds from the request to the end of its answer.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/poison_pills.hpp
+++ b/include/cardamombay/serving/poison_pills.hpp
@@ -59,7 +59,7 @@
     /// \brief Called with each new verdict.
     void onVerdict(std::function<void(const PoisonVerdict &)> action)
     {
-        quarantined_ = std::move(action);
+        verdictCallback_ = std::move(action);
     }
 
     /// \name News
@@ -99,33 +99,33 @@
     {
         std::map<EndpointLife, bool> crashes_; ///< True if the endpoint had begun to answer.
         std::vector<EndpointLife> ignored_;    ///< Ends before the request was served.
-        TimePoint seenAt_{};
-        TimePoint until_{}; ///< End of the quarantine; the epoch if there was none.
+        TimePoint lastCrashAt_{};
+        TimePoint quarantinedUntil_{}; ///< End of the quarantine; the epoch if there was none.
         TimePoint clearedAt_{};
         std::size_t verdicts_ = 0;
     };
     template<typename Value>
-    struct Told
+    struct Announced
     {
         Value value_;
         TimePoint at_{};
     };
 
-    [[nodiscard]] bool wasServedLately(const RequestFingerprint &request, TimePoint now) const;
-    void tellCleared(const RequestFingerprint &request, TimePoint now);
-    void note(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now);
-    void takeVerdict(const PoisonVerdict &verdict, TimePoint now);
+    [[nodiscard]] bool wasRecentlyServed(const RequestFingerprint &request, TimePoint now) const;
+    void announceCleared(const RequestFingerprint &request, TimePoint now);
+    void recordCrash(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now);
+    void applyVerdict(const PoisonVerdict &verdict, TimePoint now);
     void quarantine(const RequestFingerprint &request, Record &record, Duration time,
                     TimePoint now);
     bool clear(const RequestFingerprint &request, TimePoint now, bool isLifted);
-    void makeRoom();
+    void evictOldestSuspect();
 
-    std::function<void(const PoisonVerdict &)> quarantined_;
+    std::function<void(const PoisonVerdict &)> verdictCallback_;
     std::map<RequestFingerprint, Record> records_;
     std::unordered_map<RequestFingerprint, TimePoint> servedAt_; ///< Lately, here.
-    std::vector<Told<EndpointCrash>> ownCrashes_;
-    std::vector<Told<RequestFingerprint>> ownCleared_;
-    std::optional<RequestFingerprint> lastTold_; ///< Verdict, for the turn of the next ones.
+    std::vector<Announced<EndpointCrash>> ownCrashes_;
+    std::vector<Announced<RequestFingerprint>> ownCleared_;
+    std::optional<RequestFingerprint> lastAnnounced_; ///< Verdict, for the turn of the next ones.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/retry_window.hpp
+++ b/include/cardamombay/serving/retry_window.hpp
@@ -43,7 +43,7 @@
     [[nodiscard]] bool take(const RetryBound &bound, TimePoint now);
 
     /// \brief Counts a repeat that is beyond \p bound, since others have left theirs.
-    void takeExtra(const RetryBound &bound, TimePoint now);
+    void takeBeyondBound(const RetryBound &bound, TimePoint now);
 
 private:
     static constexpr std::size_t sliceCount = 20;
--- a/src/serving/crash_detector.cpp
+++ b/src/serving/crash_detector.cpp
@@ -9,17 +9,17 @@
 
 /// All connections to a process that ends break within 2 ms at one entry VM (measured at 23 ends,
 /// with up to 60 requests each).
-constexpr Duration collectFor = std::chrono::milliseconds(10);
+constexpr Duration collectPeriod = std::chrono::milliseconds(10);
 
 /// Some answers that had arrived are read later; they still belong to the same end. An engine is
 /// back after some seconds, so a refused connection tells of this life only that long.
-constexpr Duration caseLifetime = std::chrono::seconds(2);
+constexpr Duration investigationLifetime = std::chrono::seconds(2);
 
 /// Somebody who listens answers within a millisecond or two; longer than a lost packet takes.
 constexpr Duration probeTimeout = std::chrono::milliseconds(500);
 
 /// Requests of one end at one entry VM; bounds memory. Several batches.
-constexpr std::size_t mostRequests = 128;
+constexpr std::size_t maxRequests = 128;
 
 } // namespace
 
@@ -62,61 +62,61 @@
 
 CrashDetector::~CrashDetector() = default;
 
-void CrashDetector::attemptBroke(const EndpointLife &endpoint, const Address &address,
-                                 RequestAtCrash request)
+void CrashDetector::onAttemptBroken(const EndpointLife &endpoint, const Address &address,
+                                    RequestAtCrash request)
 {
-    const auto [place, isNew] = cases_.try_emplace(endpoint);
+    const auto [place, isNew] = investigations_.try_emplace(endpoint);
     auto &one = place->second;
     if (isNew) {
         one.address_ = address;
-        one.openedAt_ = clock_.now();
+        one.startedAt_ = clock_.now();
         one.probe_ = std::make_unique<Probe>(upstream_, address);
     }
-    if (one.requests_.size() < mostRequests)
+    if (one.requests_.size() < maxRequests)
         one.requests_.push_back(request);
 }
 
 void CrashDetector::endpointRestarted(const EndpointLife &endpoint)
 {
-    const auto found = cases_.find(endpoint);
-    if (found != cases_.end())
+    const auto found = investigations_.find(endpoint);
+    if (found != investigations_.end())
         found->second.isRestarted_ = true;
 }
 
 void CrashDetector::sweep()
 {
     std::vector<EndpointCrash> crashes;
-    for (auto place = cases_.begin(); place != cases_.end();) {
+    for (auto place = investigations_.begin(); place != investigations_.end();) {
         const auto &endpoint = place->first;
         auto &one = place->second;
-        const auto verdict = verdictOn(one);
+        const auto verdict = evaluate(one);
         if (verdict == Verdict::Ended && !one.requests_.empty())
             crashes.push_back({endpoint, std::exchange(one.requests_, {})});
         const bool isOver
-            = verdict == Verdict::Lives || clock_.now() - one.openedAt_ > caseLifetime;
-        place = isOver ? cases_.erase(place) : std::next(place);
+            = verdict == Verdict::Alive || clock_.now() - one.startedAt_ > investigationLifetime;
+        place = isOver ? investigations_.erase(place) : std::next(place);
     }
     for (const auto &crash : crashes) {
-        if (crashed_)
-            crashed_(crash);
+        if (crashCallback_)
+            crashCallback_(crash);
     }
 }
 
 /// A process that ends may still listen while its connections break, so one that listens is looked
 /// at once more.
-CrashDetector::Verdict CrashDetector::verdictOn(Case &one)
+CrashDetector::Verdict CrashDetector::evaluate(Investigation &one)
 {
-    if (clock_.now() - one.openedAt_ < collectFor)
-        return Verdict::Open;
+    if (clock_.now() - one.startedAt_ < collectPeriod)
+        return Verdict::Undecided;
     const auto state = one.probe_->state();
     if (one.isRestarted_ || state == Probe::State::Ended)
         return Verdict::Ended;
     if (state == Probe::State::Pending)
-        return Verdict::Open;
-    if (state == Probe::State::Unreachable || std::exchange(one.isLookedAtTwice_, true))
-        return Verdict::Lives;
+        return Verdict::Undecided;
+    if (state == Probe::State::Unreachable || std::exchange(one.isProbedTwice_, true))
+        return Verdict::Alive;
     one.probe_ = std::make_unique<Probe>(upstream_, one.address_);
-    return Verdict::Open;
+    return Verdict::Undecided;
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/event_scanner.cpp
+++ b/src/serving/event_scanner.cpp
@@ -8,14 +8,14 @@
 
 constexpr std::string_view idField = "id:";
 
-std::string_view withoutReturn(std::string_view line)
+std::string_view withoutCarriageReturn(std::string_view line)
 {
     if (!line.empty() && line.back() == '\r')
         line.remove_suffix(1);
     return line;
 }
 
-std::optional<std::uint64_t> idIn(std::string_view line)
+std::optional<std::uint64_t> parseId(std::string_view line)
 {
     if (!line.starts_with(idField))
         return std::nullopt;
@@ -32,19 +32,19 @@
 
 } // namespace
 
-WholeEvents wholeEvents(std::string_view text)
+CompleteEvents scanCompleteEvents(std::string_view text)
 {
-    WholeEvents result;
+    CompleteEvents result;
     std::optional<std::uint64_t> id;
     std::size_t lineStart = 0;
     while (true) {
         const auto lineEnd = text.find('\n', lineStart);
         if (lineEnd == std::string_view::npos)
             return result;
-        const auto line = withoutReturn(text.substr(lineStart, lineEnd - lineStart));
+        const auto line = withoutCarriageReturn(text.substr(lineStart, lineEnd - lineStart));
         lineStart = lineEnd + 1;
         if (!line.empty()) {
-            if (const auto found = idIn(line))
+            if (const auto found = parseId(line))
                 id = found;
             continue;
         }
--- a/src/serving/failure_blame.cpp
+++ b/src/serving/failure_blame.cpp
@@ -6,29 +6,30 @@
 
 /// Failures of a request are compared for that long: several tries of its caller, each after a
 /// pause.
-constexpr Duration comparedFor = std::chrono::seconds(30);
+constexpr Duration comparisonPeriod = std::chrono::seconds(30);
 
 /// Requests that are remembered, about 200 bytes each; those that failed within seconds at usual
 /// rates.
-constexpr std::size_t mostRequests = 1024;
+constexpr std::size_t maxRequests = 1024;
 
 /// Endpoints of one request; two already tell.
-constexpr std::size_t mostEndpoints = 4;
+constexpr std::size_t maxEndpointsPerRequest = 4;
 
 } // namespace
 
 bool FailureBlame::blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint,
                                   TimePoint now)
 {
-    if (failures_.size() >= mostRequests)
-        std::erase_if(failures_,
-                      [now](const auto &one) { return now - one.second.at_ > comparedFor; });
-    if (failures_.size() >= mostRequests)
+    if (failures_.size() >= maxRequests)
+        std::erase_if(failures_, [now](const auto &one) {
+            return now - one.second.firstAt_ > comparisonPeriod;
+        });
+    if (failures_.size() >= maxRequests)
         failures_.clear();
     auto &failures = failures_[request];
-    if (failures.endpoints_.empty() || now - failures.at_ > comparedFor)
+    if (failures.endpoints_.empty() || now - failures.firstAt_ > comparisonPeriod)
         failures = {{}, now};
-    if (failures.endpoints_.size() < mostEndpoints)
+    if (failures.endpoints_.size() < maxEndpointsPerRequest)
         failures.endpoints_.insert(endpoint);
     return failures.endpoints_.size() < 2;
 }
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 /// Share of the fleet's budget that is spent at most: entry VMs count their peers a little late.
-constexpr double budgetMargin = 0.7;
+constexpr double entryMargin = 0.7;
 
 /// Share of the fleet's budget beyond which an entry VM leaves its own part untouched as well: the
 /// others may have taken it as left over, one after the other.
@@ -25,16 +25,16 @@
 /// Even parts of what the fleet has left that one entry VM may take until it hears of the others
 /// again. Few of them need repeats at the same moment; if all did, the margin above covers the
 /// rest.
-constexpr double mostExtraShare = 3;
+constexpr double maxSurplusShares = 3;
 
 /// Requests that one log line names.
-constexpr std::size_t mostNamed = 16;
+constexpr std::size_t maxLoggedRequests = 16;
 
 /// A gap between two sweeps beyond which endpoints are not blamed for the silence.
-constexpr Duration longestSweepGap = std::chrono::milliseconds(120);
+constexpr Duration maxSweepGap = std::chrono::milliseconds(120);
 
 /// Tokens that the answer will have: the caller's guess, else half of what it allows.
-std::size_t likelyAnswer(const CallerHead &head)
+std::size_t expectedAnswerTokens(const CallerHead &head)
 {
     return head.likelyAnswerTokens_ > 0 ? head.likelyAnswerTokens_ : head.mostAnswerTokens_ / 2;
 }
@@ -72,7 +72,7 @@
         return;
     const auto sessions = sessions_;
     for (const auto &[key, session] : sessions)
-        session->beginWaiting();
+        session->resumeAfterStartup();
 }
 
 net::HttpResponse Gateway::refusal(net::ServerFault fault, std::string_view detail)
@@ -84,22 +84,22 @@
 {
     // It is released from inside its own functions, so it lives on until the next sweep.
     if (auto node = sessions_.extract(&session))
-        ended_.push_back(std::move(node.mapped()));
+        released_.push_back(std::move(node.mapped()));
 }
 
 void Gateway::sweep()
 {
-    ended_.clear();
+    released_.clear();
     std::vector<std::shared_ptr<Session>> sessions;
     sessions.reserve(sessions_.size());
     for (const auto &[key, session] : sessions_)
         sessions.push_back(session);
     const auto now = parts_.clock_.now();
-    const bool stoodStill = now - std::exchange(sweptAt_, now) > longestSweepGap;
+    const bool wasPaused = now - std::exchange(lastSweepAt_, now) > maxSweepGap;
     for (const auto &session : sessions) {
         // What came while the process stood still is not read yet.
-        if (stoodStill)
-            session->restartPatience(now);
+        if (wasPaused)
+            session->restartStallTimer(now);
         session->check(now);
     }
     crashDetector_.sweep();
@@ -109,9 +109,9 @@
     retryHeld(sessions);
 }
 
-void Gateway::attemptBroke(const Target &target, RequestAtCrash request)
+void Gateway::onAttemptBroken(const Target &target, RequestAtCrash request)
 {
-    crashDetector_.attemptBroke(target.life(), target.address_, request);
+    crashDetector_.onAttemptBroken(target.life(), target.address_, request);
 }
 
 bool Gateway::blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint)
@@ -128,7 +128,7 @@
     for (const auto &request : crash.requests_) {
         if (request.hadEvents_)
             ++begun;
-        else if (named++ < mostNamed)
+        else if (named++ < maxLoggedRequests)
             waiting += (waiting.empty() ? "" : ",") + request.fingerprint_.text();
     }
     log::warning(event::endpointCrashed, {{"endpoint", crash.endpoint_.text()},
@@ -137,8 +137,8 @@
                                           {"without-events", waiting}});
     parts_.board_.crashed(crash.endpoint_, parts_.clock_.now());
     poisonPills_.endpointCrashed(crash, parts_.clock_.now());
-    if (crashSeen_)
-        crashSeen_();
+    if (crashCallback_)
+        crashCallback_();
 }
 
 void Gateway::takePoisonNews(const PoisonNews &news)
@@ -177,17 +177,17 @@
     std::set<std::pair<ServiceName, ModelName>> full;
     for (const auto &session : sessions) {
         const std::pair needed(session->service(), session->model());
-        const bool isWorthTrying = !full.contains(needed) || session->hasTurn();
-        if (isWorthTrying && !session->retryHeld())
+        const bool mayFindRoom = !full.contains(needed) || session->hasOpenReservation();
+        if (mayFindRoom && !session->retryHeld())
             full.insert(needed);
     }
 }
 
-void Gateway::cutAll()
+void Gateway::terminateAll()
 {
     const auto sessions = sessions_;
     for (const auto &[key, session] : sessions)
-        session->cut();
+        session->terminate();
 }
 
 void Gateway::endpointRestarted(const EndpointLife &endpoint, const Address &address)
@@ -216,47 +216,49 @@
 }
 
 /// The entry VMs share the fleet's reserve evenly; each earns its own share of its requests.
-RetryBound Gateway::repeatBound() const
+RetryBound Gateway::retryBound() const
 {
     RetryBound bound;
-    bound.share_ = bounds_.retryShare_ * budgetMargin;
-    bound.reserve_ = bounds_.retryReserve_ * budgetMargin / static_cast<double>(entryCount_);
+    bound.share_ = bounds_.retryShare_ * entryMargin;
+    bound.reserve_ = bounds_.retryReserve_ * entryMargin / static_cast<double>(entryCount_);
     bound.window_ = bounds_.retryWindow_;
     return bound;
 }
 
 void Gateway::countRequest(const Service &service, const CallerHead &head)
 {
-    retries_[service.name_].countRequest(repeatBound(), parts_.clock_.now());
+    retries_[service.name_].countRequest(retryBound(), parts_.clock_.now());
     if (!service.engine_)
         return;
     if (const auto *model = service.engine_->model(head.model_))
-        demand_[model->name_] += toSeconds(EngineModel(*service.engine_, *model)
-                                               .groupTime(head.promptTokens_, likelyAnswer(head)));
+        demand_[model->name_]
+            += toSeconds(EngineModel(*service.engine_, *model)
+                             .groupTime(head.promptTokens_, expectedAnswerTokens(head)));
 }
 
 void Gateway::setPeerRetries(std::map<ServiceName, RetryCounts> counts)
 {
-    othersRepeats_ = std::move(counts);
-    extraRepeats_.clear();
+    peerRetries_ = std::move(counts);
+    surplusRetries_.clear();
 }
 
 std::map<ServiceName, RetryCounts> Gateway::retryCounts(TimePoint now)
 {
     std::map<ServiceName, RetryCounts> result;
     for (auto &[service, window] : retries_)
-        result.emplace(service, window.counts(repeatBound(), now));
+        result.emplace(service, window.counts(retryBound(), now));
     return result;
 }
 
 /// Repeats that the fleet may still send within \p margin of its budget, as far as is known;
 /// nothing if the others' counts are not.
-std::optional<double> Gateway::fleetLeft(const ServiceName &service, double margin, TimePoint now)
+std::optional<double> Gateway::fleetRetriesLeft(const ServiceName &service, double margin,
+                                                TimePoint now)
 {
-    const auto others = othersRepeats_.find(service);
-    if (others == othersRepeats_.end())
+    const auto others = peerRetries_.find(service);
+    if (others == peerRetries_.end())
         return std::nullopt;
-    const auto own = retries_[service].counts(repeatBound(), now);
+    const auto own = retries_[service].counts(retryBound(), now);
     const auto requests = own.requests_ + others->second.requests_;
     const auto repeats = own.retries_ + others->second.retries_;
     return (requests * bounds_.retryShare_ + bounds_.retryReserve_) * margin - repeats;
@@ -264,25 +266,25 @@
 
 /// What the fleet has left is shared by those that need it now: the streams of a lost group are
 /// spread unevenly, and an entry VM's own part is three repeats and one for seven requests.
-bool Gateway::othersLeaveRepeats(const ServiceName &service, TimePoint now)
+bool Gateway::fleetHasSurplus(const ServiceName &service, TimePoint now)
 {
-    const auto left = fleetLeft(service, budgetMargin, now);
+    const auto left = fleetRetriesLeft(service, entryMargin, now);
     if (!left)
         return false;
-    const auto part = *left * mostExtraShare / static_cast<double>(entryCount_);
-    return extraRepeats_[service] + 1 <= part;
+    const auto part = *left * maxSurplusShares / static_cast<double>(entryCount_);
+    return surplusRetries_[service] + 1 <= part;
 }
 
-bool Gateway::mayRepeat(const ServiceName &service)
+bool Gateway::takeRetry(const ServiceName &service)
 {
     const auto now = parts_.clock_.now();
-    const auto left = fleetLeft(service, fleetMargin, now);
+    const auto left = fleetRetriesLeft(service, fleetMargin, now);
     if (left && *left < 1)
         return false;
-    bool may = retries_[service].take(repeatBound(), now);
-    if (!may && othersLeaveRepeats(service, now)) {
-        retries_[service].takeExtra(repeatBound(), now);
-        extraRepeats_[service] += 1;
+    bool may = retries_[service].take(retryBound(), now);
+    if (!may && fleetHasSurplus(service, now)) {
+        retries_[service].takeBeyondBound(retryBound(), now);
+        surplusRetries_[service] += 1;
         may = true;
     }
     if (may)
--- a/src/serving/gateway_metrics.cpp
+++ b/src/serving/gateway_metrics.cpp
@@ -5,7 +5,8 @@
 namespace {
 
 /// Seconds; around the goals of 0.15 to 0.4 s and the longest time-outs of 8 s.
-const std::vector<double> buckets{0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.8, 1.6, 4, 8};
+const std::vector<double> latencyBuckets{0.01, 0.025, 0.05, 0.1, 0.15, 0.2,
+                                         0.3,  0.4,   0.8,  1.6, 4,    8};
 
 /// Seconds; around the two to four seconds after which a leaving endpoint gets nothing new.
 const std::vector<double> ageBuckets{0.25, 0.5, 1, 1.25, 1.5, 1.75, 2, 2.5, 3, 4, 8};
@@ -66,11 +67,13 @@
           "cardamombay_gateway_endpoints_age_seconds",
           "Age of the knowledge of endpoints by which a request was sent.", ageBuckets))
     , firstByte_(registry.histogram("cardamombay_gateway_first_byte_seconds",
-                                    "From a request to its first event or its answer.", buckets))
-    , pause_(registry.histogram("cardamombay_gateway_pause_seconds",
-                                "Between two events of a stream.", buckets))
-    , whole_(registry.histogram("cardamombay_gateway_answer_seconds",
-                                "From a request to the end of its answer.", buckets))
+                                    "From a request to its first event or its answer.",
+                                    latencyBuckets))
+    , eventGap_(registry.histogram("cardamombay_gateway_pause_seconds",
+                                   "Between two events of a stream.", latencyBuckets))
+    , answerDuration_(registry.histogram("cardamombay_gateway_answer_seconds",
+                                         "From a request to the end of its answer.",
+                                         latencyBuckets))
 {
 }
 
--- a/src/serving/gateway_settings.cpp
+++ b/src/serving/gateway_settings.cpp
@@ -24,7 +24,7 @@
 constexpr Range<double> reserveRange{0, 1'000'000};
 
 /// Part of the time in which a taken key may still work that is left for the request's way.
-constexpr double usableShareOfRevocation = 0.8;
+constexpr double revocationUsableShare = 0.8;
 
 void readListen(TableReader &root, GatewaySettings &result)
 {
@@ -71,7 +71,7 @@
     reader.read("stop_within", result.grace_, graceRange);
     reader.read("revoke_within", revocation, boundRange);
     if (revocation > Duration::zero())
-        bounds.longestUnconfirmed_ = fromSeconds(toSeconds(revocation) * usableShareOfRevocation);
+        bounds.longestUnconfirmed_ = fromSeconds(toSeconds(revocation) * revocationUsableShare);
     reader.read("retry_share", bounds.retryShare_, {0, 1});
     reader.read("retry_window", bounds.retryWindow_, boundRange);
     reader.read("retry_reserve", bounds.retryReserve_, reserveRange);
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -9,11 +9,11 @@
 
 /// Weight of an end at which the endpoint had not begun to answer the request: a poison pill ends
 /// an endpoint as it begins to run.
-constexpr std::size_t beginningWeight = 2;
+constexpr std::size_t beforeAnswerWeight = 2;
 /// Weight of an end in the middle of the answer. Long answers are there at many ends without fault;
 /// a caller's request is sent to about four endpoints at most, so it never comes to a verdict by
 /// these alone, while one that comes again and again does.
-constexpr std::size_t answeringWeight = 1;
+constexpr std::size_t duringAnswerWeight = 1;
 /// A verdict: three ends at the beginning, or six in the middle. Two are not enough: where a
 /// seventh of the engines crash at once, requests that were moved once meet a second end by chance.
 constexpr std::size_t verdictWeight = 6;
@@ -22,54 +22,54 @@
 constexpr Duration evidenceLifetime = PoisonPills::firstQuarantine;
 
 /// Doublings of the quarantine; ten minutes become a day.
-constexpr std::size_t mostDoublings = 7;
+constexpr std::size_t maxDoublings = 7;
 
 /// A peer tells how long a quarantine lasts from when it was told; only more than that is a new
 /// one. Otherwise two entry VMs would prolong it by a datagram's way again and again.
-constexpr Duration retoldWithin = std::chrono::seconds(60);
+constexpr Duration extensionTolerance = std::chrono::seconds(60);
 
 /// Not worth taking over: entry VMs end a quarantine at slightly different times.
-constexpr Duration leastLeft = std::chrono::seconds(5);
+constexpr Duration minAdoptedQuarantine = std::chrono::seconds(5);
 /// A peer that was cut off when a request was cleared still tells of its quarantine meanwhile.
-constexpr Duration clearedFor = std::chrono::seconds(30);
+constexpr Duration clearanceLifetime = std::chrono::seconds(30);
 /// Ends that are remembered as ignored; those of one trouble, since news of them come within
 /// seconds.
-constexpr std::size_t mostIgnored = 32;
+constexpr std::size_t maxIgnored = 32;
 
 /// A request that was served so lately at any entry VM is no poison pill. What is under way at
 /// three endpoints at once, for two seconds each, is served more than once a second by the fleet.
-constexpr Duration servedLately = std::chrono::seconds(10);
+constexpr Duration recentlyServedPeriod = std::chrono::seconds(10);
 /// Requests served in that time that are remembered; some 40 bytes each.
-constexpr std::size_t mostServed = 8192;
+constexpr std::size_t maxServed = 8192;
 
 /// Crashes and clearings are told in seven digests, on up to three hops each.
-constexpr Duration toldFor = std::chrono::milliseconds(700);
+constexpr Duration announcementPeriod = std::chrono::milliseconds(700);
 /// Requests of one end that are told; one batch. A message with all of six ends is 3 KB.
-constexpr std::size_t mostRequests = 24;
+constexpr std::size_t maxAnnouncedRequests = 24;
 /// Ends that one entry VM tells of at once; more are no work of one request. Bounds its messages
 /// where a whole fabric domain fails.
-constexpr std::size_t mostToldCrashes = 24;
+constexpr std::size_t maxAnnouncedCrashes = 24;
 /// Verdicts in one digest, 30 bytes each; all of a hundred are told within three seconds.
-constexpr std::size_t mostVerdicts = 4;
+constexpr std::size_t maxAnnouncedVerdicts = 4;
 
 /// Suspects that are remembered; a record takes some 200 bytes, so about 1 MB.
-constexpr std::size_t mostRecords = 4096;
+constexpr std::size_t maxRecords = 4096;
 
 std::size_t weightOf(const std::map<EndpointLife, bool> &crashes)
 {
     std::size_t result = 0;
     for (const auto &[endpoint, hadEvents] : crashes)
-        result += hadEvents ? answeringWeight : beginningWeight;
+        result += hadEvents ? duringAnswerWeight : beforeAnswerWeight;
     return result;
 }
 
 /// Those that had no event first, since they are more likely the cause.
-std::vector<RequestAtCrash> likeliest(std::vector<RequestAtCrash> requests)
+std::vector<RequestAtCrash> mostLikelyCauses(std::vector<RequestAtCrash> requests)
 {
     std::stable_partition(requests.begin(), requests.end(),
                           [](const RequestAtCrash &one) { return !one.hadEvents_; });
-    if (requests.size() > mostRequests)
-        requests.resize(mostRequests);
+    if (requests.size() > maxAnnouncedRequests)
+        requests.resize(maxAnnouncedRequests);
     return requests;
 }
 
@@ -110,22 +110,22 @@
 
 void PoisonPills::endpointCrashed(const EndpointCrash &crash, TimePoint now)
 {
-    const EndpointCrash told{crash.endpoint_, likeliest(crash.requests_)};
-    ownCrashes_.push_back({told, now});
-    if (ownCrashes_.size() > mostToldCrashes)
+    const EndpointCrash announced{crash.endpoint_, mostLikelyCauses(crash.requests_)};
+    ownCrashes_.push_back({announced, now});
+    if (ownCrashes_.size() > maxAnnouncedCrashes)
         ownCrashes_.erase(ownCrashes_.begin());
-    for (const auto &request : told.requests_)
-        note(told.endpoint_, request, now);
+    for (const auto &request : announced.requests_)
+        recordCrash(announced.endpoint_, request, now);
 }
 
-bool PoisonPills::wasServedLately(const RequestFingerprint &request, TimePoint now) const
+bool PoisonPills::wasRecentlyServed(const RequestFingerprint &request, TimePoint now) const
 {
     const auto found = servedAt_.find(request);
-    return found != servedAt_.end() && now - found->second <= servedLately;
+    return found != servedAt_.end() && now - found->second <= recentlyServedPeriod;
 }
 
 /// Tells the others that the request was served here, once in a while.
-void PoisonPills::tellCleared(const RequestFingerprint &request, TimePoint now)
+void PoisonPills::announceCleared(const RequestFingerprint &request, TimePoint now)
 {
     const bool isTold = std::any_of(ownCleared_.begin(), ownCleared_.end(),
                                     [&](const auto &one) { return one.value_ == request; });
@@ -133,14 +133,15 @@
         ownCleared_.push_back({request, now});
 }
 
-void PoisonPills::note(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now)
+void PoisonPills::recordCrash(const EndpointLife &endpoint, const RequestAtCrash &request,
+                              TimePoint now)
 {
-    if (wasServedLately(request.fingerprint_, now)) {
-        tellCleared(request.fingerprint_, now);
+    if (wasRecentlyServed(request.fingerprint_, now)) {
+        announceCleared(request.fingerprint_, now);
         return;
     }
     if (!records_.contains(request.fingerprint_))
-        makeRoom();
+        evictOldestSuspect();
     auto &record = records_[request.fingerprint_];
     if (contains(record.ignored_, endpoint))
         return;
@@ -149,9 +150,9 @@
     if (!isNew && !isStronger)
         return;
     place->second = request.hadEvents_;
-    record.seenAt_ = now;
-    if (weightOf(record.crashes_) >= verdictWeight && now >= record.until_) {
-        const auto doublings = std::min(record.verdicts_, mostDoublings);
+    record.lastCrashAt_ = now;
+    if (weightOf(record.crashes_) >= verdictWeight && now >= record.quarantinedUntil_) {
+        const auto doublings = std::min(record.verdicts_, maxDoublings);
         quarantine(request.fingerprint_, record, firstQuarantine * (1 << doublings), now);
     }
 }
@@ -159,20 +160,20 @@
 void PoisonPills::quarantine(const RequestFingerprint &request, Record &record, Duration time,
                              TimePoint now)
 {
-    record.until_ = now + time;
-    record.seenAt_ = now;
+    record.quarantinedUntil_ = now + time;
+    record.lastCrashAt_ = now;
     ++record.verdicts_;
-    if (quarantined_)
-        quarantined_({request, time});
+    if (verdictCallback_)
+        verdictCallback_({request, time});
 }
 
 void PoisonPills::served(const RequestFingerprint &request, TimePoint now)
 {
-    if (servedAt_.size() >= mostServed)
+    if (servedAt_.size() >= maxServed)
         servedAt_.clear();
     servedAt_.insert_or_assign(request, now);
     if (clear(request, now, false))
-        tellCleared(request, now);
+        announceCleared(request, now);
 }
 
 /// Ends that it was told of count no more; those of later ends do. One that was already under way
@@ -180,17 +181,18 @@
 bool PoisonPills::clear(const RequestFingerprint &request, TimePoint now, bool isLifted)
 {
     const auto found = records_.find(request);
-    const bool isKnown = found != records_.end()
-                         && (!found->second.crashes_.empty() || now < found->second.until_);
+    const bool isKnown
+        = found != records_.end()
+          && (!found->second.crashes_.empty() || now < found->second.quarantinedUntil_);
     if (!isKnown)
         return false;
     auto &record = found->second;
     for (const auto &[endpoint, hadEvents] : record.crashes_)
         record.ignored_.push_back(endpoint);
-    if (record.ignored_.size() > mostIgnored)
-        record.ignored_.erase(record.ignored_.begin(), record.ignored_.end() - mostIgnored);
+    if (record.ignored_.size() > maxIgnored)
+        record.ignored_.erase(record.ignored_.begin(), record.ignored_.end() - maxIgnored);
     record.crashes_.clear();
-    record.until_ = {};
+    record.quarantinedUntil_ = {};
     record.verdicts_ = 0;
     record.clearedAt_ = now;
     if (isLifted)
@@ -202,30 +204,31 @@
 {
     for (const auto &[endpoint, requests] : news.crashes_) {
         for (const auto &request : requests)
-            note(endpoint, request, now);
+            recordCrash(endpoint, request, now);
     }
     for (const auto &verdict : news.verdicts_)
-        takeVerdict(verdict, now);
+        applyVerdict(verdict, now);
     for (const auto &request : news.cleared_)
         (void)clear(request, now, false);
 }
 
-void PoisonPills::takeVerdict(const PoisonVerdict &verdict, TimePoint now)
+void PoisonPills::applyVerdict(const PoisonVerdict &verdict, TimePoint now)
 {
-    if (wasServedLately(verdict.request_, now)) {
-        tellCleared(verdict.request_, now);
+    if (wasRecentlyServed(verdict.request_, now)) {
+        announceCleared(verdict.request_, now);
         return;
     }
     if (const auto known = quarantinedFor(verdict.request_, now)) {
-        if (verdict.left_ <= *known + retoldWithin)
+        if (verdict.left_ <= *known + extensionTolerance)
             return;
-    } else if (verdict.left_ < leastLeft) {
+    } else if (verdict.left_ < minAdoptedQuarantine) {
         return;
     }
     if (!records_.contains(verdict.request_))
-        makeRoom();
+        evictOldestSuspect();
     auto &record = records_[verdict.request_];
-    const bool isCleared = record.clearedAt_ != TimePoint{} && now - record.clearedAt_ < clearedFor;
+    const bool isCleared
+        = record.clearedAt_ != TimePoint{} && now - record.clearedAt_ < clearanceLifetime;
     if (!isCleared)
         quarantine(verdict.request_, record, verdict.left_, now);
 }
@@ -238,14 +241,14 @@
 
 /// A flood of requests with contents of their own must not take the memory: the suspect that was
 /// seen least lately goes, a verdict never.
-void PoisonPills::makeRoom()
+void PoisonPills::evictOldestSuspect()
 {
-    if (records_.size() < mostRecords)
+    if (records_.size() < maxRecords)
         return;
     const auto oldest
         = std::min_element(records_.begin(), records_.end(), [](auto &left, auto &right) {
-              return std::pair(left.second.until_, left.second.seenAt_)
-                     < std::pair(right.second.until_, right.second.seenAt_);
+              return std::pair(left.second.quarantinedUntil_, left.second.lastCrashAt_)
+                     < std::pair(right.second.quarantinedUntil_, right.second.lastCrashAt_);
           });
     records_.erase(oldest);
 }
@@ -256,16 +259,20 @@
 {
     std::erase_if(records_, [now](const auto &one) {
         const auto &record = one.second;
-        const auto memory = std::max(evidenceLifetime, record.until_ - record.seenAt_);
-        return now >= record.until_ && now - std::max(record.seenAt_, record.until_) > memory;
+        const auto memory
+            = std::max(evidenceLifetime, record.quarantinedUntil_ - record.lastCrashAt_);
+        return now >= record.quarantinedUntil_
+               && now - std::max(record.lastCrashAt_, record.quarantinedUntil_) > memory;
     });
     for (auto &[request, record] : records_) {
-        const bool isOver = record.until_ != TimePoint{} && now >= record.until_;
+        const bool isOver
+            = record.quarantinedUntil_ != TimePoint{} && now >= record.quarantinedUntil_;
         while (isOver && weightOf(record.crashes_) >= verdictWeight)
             record.crashes_.erase(record.crashes_.begin());
     }
-    std::erase_if(servedAt_, [now](const auto &one) { return now - one.second > servedLately; });
-    const auto isOld = [now](const auto &one) { return now - one.at_ > toldFor; };
+    std::erase_if(servedAt_,
+                  [now](const auto &one) { return now - one.second > recentlyServedPeriod; });
+    const auto isOld = [now](const auto &one) { return now - one.at_ > announcementPeriod; };
     std::erase_if(ownCrashes_, isOld);
     std::erase_if(ownCleared_, isOld);
 }
@@ -274,9 +281,9 @@
                                                     TimePoint now) const
 {
     const auto found = records_.find(request);
-    if (found == records_.end() || now >= found->second.until_)
+    if (found == records_.end() || now >= found->second.quarantinedUntil_)
         return std::nullopt;
-    return found->second.until_ - now;
+    return found->second.quarantinedUntil_ - now;
 }
 
 bool PoisonPills::isSuspect(const RequestFingerprint &request) const
@@ -290,7 +297,7 @@
 {
     std::map<RequestFingerprint, std::vector<EndpointLife>> result;
     for (const auto &[request, record] : records_) {
-        if (now >= record.until_)
+        if (now >= record.quarantinedUntil_)
             continue;
         auto &endpoints = result[request];
         for (const auto &[endpoint, hadEvents] : record.crashes_)
@@ -303,28 +310,28 @@
 {
     PoisonNews result;
     for (const auto &crash : ownCrashes_) {
-        if (now - crash.at_ <= toldFor)
+        if (now - crash.at_ <= announcementPeriod)
             result.crashes_[crash.value_.endpoint_].insert(
                 result.crashes_[crash.value_.endpoint_].end(), crash.value_.requests_.begin(),
                 crash.value_.requests_.end());
     }
     for (const auto &cleared : ownCleared_) {
-        if (now - cleared.at_ <= toldFor)
+        if (now - cleared.at_ <= announcementPeriod)
             result.cleared_.push_back(cleared.value_);
     }
     std::vector<PoisonVerdict> inForce;
     for (const auto &[request, record] : records_) {
-        if (now < record.until_)
-            inForce.push_back({request, record.until_ - now});
+        if (now < record.quarantinedUntil_)
+            inForce.push_back({request, record.quarantinedUntil_ - now});
     }
     const auto next = std::find_if(inForce.begin(), inForce.end(), [this](const auto &one) {
-        return !lastTold_ || one.request_ > *lastTold_;
+        return !lastAnnounced_ || one.request_ > *lastAnnounced_;
     });
     std::rotate(inForce.begin(), next, inForce.end());
-    if (inForce.size() > mostVerdicts)
-        inForce.resize(mostVerdicts);
+    if (inForce.size() > maxAnnouncedVerdicts)
+        inForce.resize(maxAnnouncedVerdicts);
     if (!inForce.empty())
-        lastTold_ = inForce.back().request_;
+        lastAnnounced_ = inForce.back().request_;
     result.verdicts_ = std::move(inForce);
     return result;
 }
--- a/src/serving/retry_window.cpp
+++ b/src/serving/retry_window.cpp
@@ -39,7 +39,7 @@
     return true;
 }
 
-void RetryWindow::takeExtra(const RetryBound &bound, TimePoint now)
+void RetryWindow::takeBeyondBound(const RetryBound &bound, TimePoint now)
 {
     sliceAt(bound, now).counts_.retries_ += 1;
 }
--- a/src/serving/session.cpp
+++ b/src/serving/session.cpp
@@ -10,29 +10,29 @@
 
 /// When a caller that found no room is asked to come back, as a share of its goal; those that come
 /// back later have less time left for their answers.
-constexpr double comeBackShare = 0.2;
+constexpr double retryDelayShare = 0.2;
 /// Sends of one request, refused ones included; each counts against the fleet's budget.
-constexpr std::size_t mostSends = 4;
+constexpr std::size_t maxSends = 4;
 
 /// An unused connection that is older may have been dropped by the endpoint without notice. What
 /// may not run twice takes a fresh one then: a reset could not be told from a run.
-constexpr Duration longestIdleOnce = std::chrono::milliseconds(300);
+constexpr Duration maxIdleUnsafeToRetry = std::chrono::milliseconds(300);
 /// What may run again takes older ones, as long as the endpoint keeps them.
-constexpr Duration longestIdle = std::chrono::seconds(10);
+constexpr Duration maxIdleSafeToRetry = std::chrono::seconds(10);
 
 /// A plain endpoint that has not answered an idempotent request after so many goals is left for
 /// another one: at one goal it is late, and a slow answer often comes soon after.
-constexpr int plainPatienceGoals = 2;
+constexpr int plainStallGoals = 2;
 
 /// Share of the time after which the caller of a stream leaves; one that has not begun by then is
 /// tried elsewhere, whatever holds it up, and has the other half for it.
-constexpr double waitingShare = 0.5;
+constexpr double firstEventShare = 0.5;
 
 /// Share of the caller's patience for which a request is held for room; the rest is for its first
 /// event.
-constexpr double longestHoldShare = 0.65;
+constexpr double maxHoldShare = 0.65;
 
-constexpr Duration connectPatience = std::chrono::milliseconds(250);
+constexpr Duration connectTimeout = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -43,7 +43,7 @@
     , exchange_(std::move(exchange))
     , head_(gateway.parts().dialect_.callerHead(request_.fields_))
     , arrivedAt_(gateway.parts().clock_.now())
-    , until_(TimePoint::max())
+    , deadline_(TimePoint::max())
     , routes_(gateway.routes())
 {
 }
@@ -55,11 +55,11 @@
 {
     const auto now = gateway_.parts().clock_.now();
     // A VM that was suspended may learn of a failure before it sees that the time is over.
-    if (now >= until_) {
+    if (now >= deadline_) {
         giveUp("time-out");
         return true;
     }
-    dropBarredReservation(now);
+    dropUnusableReservation(now);
     auto choice = choose(now);
     while (const auto *needed = std::get_if<NeedsReservation>(&choice)) {
         if (awaitsReservation(now) || !reserve(*needed, now))
@@ -67,7 +67,7 @@
         choice = choose(now);
     }
     const auto *target = std::get_if<Target>(&choice);
-    if (target != nullptr && takeRepeat()) {
+    if (target != nullptr && acquireRetry()) {
         send(*target);
         return true;
     }
@@ -76,9 +76,9 @@
         return true;
     }
     // What has begun has more to lose, and another endpoint may become free.
-    const bool hasBegun = events_ > 0 || mayHaveRun_ > 0;
+    const bool hasBegun = events_ > 0 || possibleRuns_ > 0;
     if (const auto *later = std::get_if<NoEndpointInTime>(&choice); later != nullptr && !hasBegun) {
-        comeBackIn_ = later->comeBackIn_;
+        retryAfter_ = later->comeBackIn_;
         giveUp(later->reason_);
         return false;
     }
@@ -123,53 +123,53 @@
 }
 
 /// An attempt after one that may have reached an endpoint draws on the fleet's budget.
-bool Session::takeRepeat()
+bool Session::acquireRetry()
 {
-    if (!isRepeat_)
+    if (!needsRetryBudget_)
         return true;
-    isRepeat_ = !gateway_.mayRepeat(service_->name_);
-    return !isRepeat_;
+    needsRetryBudget_ = !gateway_.takeRetry(service_->name_);
+    return !needsRetryBudget_;
 }
 
 /// Leaves the present attempt for another endpoint if one has room now. Otherwise the attempt goes
 /// on: an endpoint that is only slow still answers.
-bool Session::moveElsewhere(std::string_view why, TimePoint now)
+bool Session::moveToOtherEndpoint(std::string_view why, TimePoint now)
 {
-    if (!mayGoOn(Failure::Unknown))
+    if (!mayRetry(Failure::Unknown))
         return false;
     const auto choice = choose(now);
     const auto *target = std::get_if<Target>(&choice);
-    if (target == nullptr || !gateway_.mayRepeat(service_->name_))
+    if (target == nullptr || !gateway_.takeRetry(service_->name_))
         return false;
     logFailure(why);
     dropAttempt();
-    forgetAnswer();
+    discardAnswer();
     send(*target);
     return true;
 }
 
 /// Forgets a head whose answer will not come; events that the caller has stay counted.
-void Session::forgetAnswer()
+void Session::discardAnswer()
 {
-    if (phase_ != Phase::Whole)
+    if (phase_ != Phase::Buffered)
         return;
     phase_ = Phase::Waiting;
     answer_ = {};
 }
 
 /// Some places of a full group are free by then, and the caller may still be on time.
-Duration Session::comeBack() const
+Duration Session::retryDelay() const
 {
-    if (comeBackIn_)
-        return *comeBackIn_;
-    return route_ == nullptr ? comeBackElsewhere
-                             : fromSeconds(toSeconds(route_->goal_) * comeBackShare);
+    if (retryAfter_)
+        return *retryAfter_;
+    return route_ == nullptr ? otherEntryRetryDelay
+                             : fromSeconds(toSeconds(route_->goal_) * retryDelayShare);
 }
 
 /// A caller of a stream leaves after that long without an event.
 Duration Session::callerPatience() const
 {
-    return std::max({leastCallerPatience, 4 * route_->goal_, 8 * route_->pauseGoal_});
+    return std::max({minCallerPatience, 4 * route_->goal_, 8 * route_->pauseGoal_});
 }
 
 /// Groups are mostly back within a second or two. Who is held in vain gets word before it leaves.
@@ -181,7 +181,7 @@
 Duration Session::holdLeft(TimePoint now) const
 {
     const auto allowed
-        = toSeconds(std::min(callerPatience(), until_ - arrivedAt_)) * longestHoldShare;
+        = toSeconds(std::min(callerPatience(), deadline_ - arrivedAt_)) * maxHoldShare;
     // What counts for the caller is the pause since the last event that it got.
     const auto since = events_ > 0 ? progressAt_ : arrivedAt_;
     return fromSeconds(allowed) - (now - since);
@@ -193,7 +193,7 @@
     return dispatch();
 }
 
-std::size_t Session::tokensToRead() const
+std::size_t Session::prefillTokens() const
 {
     return head_.promptTokens_ + events_ * service_->engine_->stride_;
 }
@@ -221,16 +221,16 @@
     attempt.endpoint_ = target.endpoint_;
     attempt.team_ = team_;
     attempt.patience_ = timeLeft(now);
-    attempt.lastEvent_ = lastEvent_;
+    attempt.lastEvent_ = lastEventId_;
     net::UpstreamRequest upstream;
     upstream.address_ = target.address_;
     upstream.method_ = request_.method_;
     upstream.target_ = request_.target_;
     upstream.fields_ = gateway_.parts().dialect_.attemptFields(request_.fields_, attempt);
     upstream.body_ = request_.body_;
-    upstream.connectTimeout_ = std::min(connectPatience, timeLeft(now));
-    upstream.longestIdle_ = mayRunAgain() ? longestIdle : longestIdleOnce;
-    gateway_.parts().board_.started(target.endpoint_, service_->engine_ ? tokensToRead() : 0, now);
+    upstream.connectTimeout_ = std::min(connectTimeout, timeLeft(now));
+    upstream.longestIdle_ = isSafeToRetry() ? maxIdleSafeToRetry : maxIdleUnsafeToRetry;
+    gateway_.parts().board_.started(target.endpoint_, service_->engine_ ? prefillTokens() : 0, now);
     call_ = gateway_.parts().upstream_.start(std::move(upstream), *this);
 }
 
@@ -265,7 +265,7 @@
         break;
     }
     isConnected_ = true;
-    ++mayHaveRun_;
+    ++possibleRuns_;
     return true;
 }
 
@@ -275,45 +275,45 @@
     if (!failure.mayHaveLeft_)
         gateway_.parts().board_.failed(target_.endpoint_, now);
     else if (!failure.isTimeout_)
-        noteBroken();
+        reportBrokenAttempt();
     attemptFailed(failure.mayHaveLeft_ ? Failure::Unknown : Failure::NotSent, failure.detail_);
 }
 
-bool Session::mayRunAgain() const
+bool Session::isSafeToRetry() const
 {
     return route_->kind_ == RequestKind::Idempotent || (isStream() && route_->isResumable_);
 }
 
-bool Session::mayGoOn(Failure failure) const
+bool Session::mayRetry(Failure failure) const
 {
-    if (sends_ >= mostSends
+    if (sends_ >= maxSends
         || gateway_.poisonPills().quarantinedFor(fingerprint_, gateway_.parts().clock_.now()))
         return false;
     if (failure != Failure::Unknown)
         return true;
     // An endpoint that has sent nothing may have begun all the same.
-    return mayRunAgain() && mayHaveRun_ < route_->mostTries_;
+    return isSafeToRetry() && possibleRuns_ < route_->mostTries_;
 }
 
 /// The endpoint may have ended with the connection; which requests it had then is worth knowing.
-void Session::noteBroken()
+void Session::reportBrokenAttempt()
 {
-    gateway_.attemptBroke(target_, {fingerprint_, hasProgress_});
+    gateway_.onAttemptBroken(target_, {fingerprint_, hasProgress_});
 }
 
 void Session::attemptFailed(Failure failure, std::string_view detail)
 {
     dropAttempt();
     logFailure(detail);
-    forgetAnswer();
-    isRepeat_ = isRepeat_ || failure != Failure::NotSent;
-    if (mayGoOn(failure))
+    discardAnswer();
+    needsRetryBudget_ = needsRetryBudget_ || failure != Failure::NotSent;
+    if (mayRetry(failure))
         dispatch();
     else
         giveUp(detail);
 }
 
-void Session::noteProgress(TimePoint now)
+void Session::recordProgress(TimePoint now)
 {
     progressAt_ = now;
     hasProgress_ = true;
@@ -325,16 +325,16 @@
 {
     const auto silent = now - progressAt_;
     if (!service_->engine_)
-        return phase_ == Phase::Waiting && silent > plainPatienceGoals * route_->goal_;
+        return phase_ == Phase::Waiting && silent > plainStallGoals * route_->goal_;
     if (target_.patience_ == Duration::zero() || silent <= target_.patience_)
         return false;
     // A request that the endpoint has put off lets the others pass; a group that stands still
     // doesn't.
-    const auto waitingPatience = fromSeconds(toSeconds(callerPatience()) * waitingShare);
+    const auto firstEventPatience = fromSeconds(toSeconds(callerPatience()) * firstEventShare);
     const auto heard = now - gateway_.parts().board_.heardAt(target_.endpoint_);
     if (heard <= target_.patience_)
-        return !hasProgress_ && silent > waitingPatience;
-    if (hasProgress_ || silent > waitingPatience)
+        return !hasProgress_ && silent > firstEventPatience;
+    if (hasProgress_ || silent > firstEventPatience)
         return true;
     return !gateway_.parts().board_.isUsable(target_.endpoint_, now);
 }
@@ -343,11 +343,11 @@
 {
     if (isDone_)
         return;
-    if (isWaiting_ && hasWaitedEnough(now)) {
-        beginWaiting();
+    if (awaitsStartup_ && isStartupWaitOver(now)) {
+        resumeAfterStartup();
         return;
     }
-    if (now >= until_) {
+    if (now >= deadline_) {
         if (isStreamEnded_)
             return; // Only the caller's reading is missing.
         dropAttempt();
@@ -359,7 +359,7 @@
         giveUp("no room in time");
         return;
     }
-    if (const auto reason = isHeld_ ? hopeless(now) : std::nullopt) {
+    if (const auto reason = isHeld_ ? unservableReason(now) : std::nullopt) {
         isHeld_ = false;
         giveUp(*reason);
         return;
@@ -367,15 +367,15 @@
     if (!call_ || !isStalled(now))
         return;
     gateway_.parts().board_.stalled(target_.endpoint_, now);
-    if (moveElsewhere("the endpoint is silent", now))
+    if (moveToOtherEndpoint("the endpoint is silent", now))
         gateway_.parts().metrics_.stalls_.increment();
 }
 
-void Session::cut()
+void Session::terminate()
 {
     if (isDone_ || !exchange_)
         return;
-    isWaiting_ = false;
+    awaitsStartup_ = false;
     dropAttempt();
     giveUp("the entry VM stops");
 }
@@ -384,7 +384,7 @@
 {
     if (isDone_ || !call_ || target_.endpoint_ != endpoint)
         return;
-    noteBroken();
+    reportBrokenAttempt();
     attemptFailed(Failure::Unknown, "the endpoint has started again");
 }
 
--- a/src/serving/session.hpp
+++ b/src/serving/session.hpp
@@ -32,20 +32,20 @@
     void start();
 
     /// \brief Goes on if it waited for what a process learns at its start.
-    void beginWaiting();
+    void resumeAfterStartup();
 
     /// \brief Ends the request or the attempt if their time is over.
     void check(TimePoint now);
 
     /// \brief Counts the endpoint's silence from \p now.
-    void restartPatience(TimePoint now) { progressAt_ = std::max(progressAt_, now); }
+    void restartStallTimer(TimePoint now) { progressAt_ = std::max(progressAt_, now); }
 
     /// \brief Tries again to find an endpoint for a request that is held.
     /// \returns false if no endpoint has room for this or any request of its model.
     bool retryHeld();
     [[nodiscard]] bool isHeld() const { return isHeld_; }
     /// \brief True if a send is reserved for the request and may leave now.
-    [[nodiscard]] bool hasTurn() const;
+    [[nodiscard]] bool hasOpenReservation() const;
     [[nodiscard]] TimePoint arrivedAt() const { return arrivedAt_; }
     /// \brief Rank among requests; 0 is the most urgent.
     [[nodiscard]] std::uint32_t priority() const { return priority_; }
@@ -54,7 +54,7 @@
     [[nodiscard]] const ServiceName &service() const { return service_->name_; }
 
     /// \brief Ends the request at once, since the process stops.
-    void cut();
+    void terminate();
 
     /// \brief Leaves \p endpoint, which knows nothing of the request any more.
     void endpointRestarted(const VmId &endpoint);
@@ -79,62 +79,62 @@
         Unknown, ///< It may have run.
     };
     /// When a caller is asked to come back to another entry VM; its next try reaches one at once.
-    static constexpr Duration comeBackElsewhere = std::chrono::milliseconds(60);
+    static constexpr Duration otherEntryRetryDelay = std::chrono::milliseconds(60);
     /// A caller of a stream leaves after that long without an event, or after four times the goal
     /// or eight times the longest pause on time, whichever is the longest.
-    static constexpr Duration leastCallerPatience = std::chrono::seconds(2);
+    static constexpr Duration minCallerPatience = std::chrono::seconds(2);
 
     /// What the present attempt has done for the caller.
-    enum class Phase { Waiting, Streaming, Whole };
+    enum class Phase { Waiting, Streaming, Buffered };
 
     /// \name Admission
     /// \{
     void begin();
     [[nodiscard]] bool admit();
-    [[nodiscard]] bool hasWaitedEnough(TimePoint now) const;
-    [[nodiscard]] std::optional<std::string_view> hopeless(TimePoint now) const;
+    [[nodiscard]] bool isStartupWaitOver(TimePoint now) const;
+    [[nodiscard]] std::optional<std::string_view> unservableReason(TimePoint now) const;
     [[nodiscard]] bool refuseQuarantined();
-    void refuse(std::uint32_t status, std::string_view reason, std::optional<Duration> comeBack);
+    void refuse(std::uint32_t status, std::string_view reason, std::optional<Duration> retryAfter);
     /// \}
 
     /// \name Attempts
     /// \{
     bool dispatch();
     [[nodiscard]] Choice choose(TimePoint now);
-    [[nodiscard]] bool takeRepeat();
-    [[nodiscard]] bool moveElsewhere(std::string_view why, TimePoint now);
-    void dropBarredReservation(TimePoint now);
+    [[nodiscard]] bool acquireRetry();
+    [[nodiscard]] bool moveToOtherEndpoint(std::string_view why, TimePoint now);
+    void dropUnusableReservation(TimePoint now);
     [[nodiscard]] bool reserve(const NeedsReservation &needed, TimePoint now);
     void reservationAnswered();
     [[nodiscard]] bool awaitsReservation(TimePoint now) const;
     [[nodiscard]] Duration holdLeft(TimePoint now) const;
     void send(const Target &target);
-    [[nodiscard]] Duration comeBack() const;
+    [[nodiscard]] Duration retryDelay() const;
     [[nodiscard]] Duration callerPatience() const;
     [[nodiscard]] bool mayHold(TimePoint now) const;
-    [[nodiscard]] std::size_t tokensToRead() const;
+    [[nodiscard]] std::size_t prefillTokens() const;
     void dropAttempt();
     void attemptFailed(Failure failure, std::string_view detail);
-    void noteBroken();
+    void reportBrokenAttempt();
     void logFailure(std::string_view detail) const;
-    [[nodiscard]] bool mayGoOn(Failure failure) const;
-    [[nodiscard]] bool mayRunAgain() const;
+    [[nodiscard]] bool mayRetry(Failure failure) const;
+    [[nodiscard]] bool isSafeToRetry() const;
     [[nodiscard]] bool isStalled(TimePoint now) const;
-    void noteProgress(TimePoint now);
+    void recordProgress(TimePoint now);
     /// \}
 
     /// \name The answer
     /// \{
-    void noteAnswer(std::uint32_t status, TimePoint now);
-    void noteRefusal(bool isWrongPlace, TimePoint now);
-    void takeNotices(const AnswerHead &answer, TimePoint now);
+    void recordAnswerStatus(std::uint32_t status, TimePoint now);
+    void recordRefusal(bool isWrongPlace, TimePoint now);
+    void recordNotices(const AnswerHead &answer, TimePoint now);
     void takeStreamHead(const net::HttpResponse &head);
-    void forgetAnswer();
-    void noteEvents(TimePoint now);
-    void passEvents(std::string_view data);
+    void discardAnswer();
+    void recordEvents(TimePoint now);
+    void forwardEvents(std::string_view data);
     void flush();
-    void startAnswer();
-    void answerWhole(std::string_view rest);
+    void sendStreamHead();
+    void sendBufferedAnswer(std::string_view rest);
     void endStream(std::string_view rest);
     void giveUp(std::string_view reason);
     void finish(std::string_view outcome, std::string_view reason);
@@ -142,14 +142,14 @@
 
     void callerLeft();
     [[nodiscard]] bool isStream() const { return route_->kind_ == RequestKind::Stream; }
-    [[nodiscard]] Duration timeLeft(TimePoint now) const { return until_ - now; }
+    [[nodiscard]] Duration timeLeft(TimePoint now) const { return deadline_ - now; }
 
     Gateway &gateway_;
     net::ServerRequest request_;
     std::shared_ptr<net::ServerExchange> exchange_;
     CallerHead head_;
     TimePoint arrivedAt_;
-    TimePoint until_; ///< By then the caller has its final answer.
+    TimePoint deadline_; ///< By then the caller has its final answer.
     std::shared_ptr<const RouteTable> routes_;
     const Route *route_ = nullptr;
     const Service *service_ = nullptr;
@@ -169,22 +169,22 @@
     TimePoint progressAt_;
     std::vector<VmId> tried_;
     std::size_t sends_ = 0;
-    std::size_t mayHaveRun_ = 0;         ///< Attempts that may have run.
-    std::optional<Duration> comeBackIn_; ///< Of endpoints that have reached their limits.
-    bool isRepeat_ = false;              ///< The next attempt draws on the fleet's budget.
-    bool isWaiting_ = false;             ///< For what this process learns at its start.
+    std::size_t possibleRuns_ = 0;       ///< Attempts that may have run.
+    std::optional<Duration> retryAfter_; ///< Of endpoints that have reached their limits.
+    bool needsRetryBudget_ = false;      ///< The next attempt draws on the fleet's budget.
+    bool awaitsStartup_ = false;         ///< For what this process learns at its start.
     bool isHeld_ = false;                ///< It waits here for room.
     bool wasHeld_ = false;
     bool hasProgress_ = false; ///< Something came from the present attempt.
 
     Phase phase_ = Phase::Waiting;
     net::HttpResponse answer_; ///< Head and, for whole answers, body so far.
-    std::optional<std::uint64_t> lastEvent_;
+    std::optional<std::uint64_t> lastEventId_;
     std::size_t events_ = 0;
-    Duration firstAfter_{};   ///< From arrival to the first event or the whole answer.
-    Duration longestPause_{}; ///< Between two events, endpoints that failed included.
-    TimePoint eventAt_{};     ///< The last event.
-    std::string pending_;     ///< Whole events that wait for the write under way.
+    Duration firstEventDelay_{}; ///< From arrival to the first event or the whole answer.
+    Duration maxEventGap_{};     ///< Between two events, endpoints that failed included.
+    TimePoint lastEventAt_{};    ///< The last event.
+    std::string pending_;        ///< Whole events that wait for the write under way.
     std::string writing_;
     bool isWriting_ = false;
     bool isStreamEnded_ = false;
--- a/src/serving/session_admission.cpp
+++ b/src/serving/session_admission.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 /// What the control side lacks comes within about a second.
-constexpr Duration comeBackLater = std::chrono::milliseconds(400);
+constexpr Duration controlStateRetryDelay = std::chrono::milliseconds(400);
 
 /// Share of its time that a request waits for what the process learns at its start: a refusal costs
 /// its caller one of few tries, and the rest is enough for the answer and another try elsewhere.
-constexpr double learningShare = 0.25;
+constexpr double startupWaitShare = 0.25;
 
 constexpr std::string_view poisonReason = "the request ends the endpoints that run it";
 
@@ -32,14 +32,14 @@
             self->callerLeft();
     });
     // A refusal costs its caller one of its few tries; what is missing comes within some 30 ms.
-    isWaiting_ = gateway_.isLearning() && !gateway_.isRefusing();
-    if (!isWaiting_)
+    awaitsStartup_ = gateway_.isLearning() && !gateway_.isRefusing();
+    if (!awaitsStartup_)
         begin();
 }
 
-void Session::beginWaiting()
+void Session::resumeAfterStartup()
 {
-    if (!isDone_ && std::exchange(isWaiting_, false)) {
+    if (!isDone_ && std::exchange(awaitsStartup_, false)) {
         routes_ = gateway_.routes();
         begin();
     }
@@ -56,11 +56,11 @@
 bool Session::admit()
 {
     if (gateway_.isRefusing()) {
-        refuse(statusUnavailable, "the entry VM stops", comeBackElsewhere);
+        refuse(statusUnavailable, "the entry VM stops", otherEntryRetryDelay);
         return false;
     }
     if (!routes_) {
-        refuse(statusUnavailable, "no configuration yet", comeBackLater);
+        refuse(statusUnavailable, "no configuration yet", controlStateRetryDelay);
         return false;
     }
     route_ = routes_->route(head_.host_, request_.target_);
@@ -69,12 +69,12 @@
         return false;
     }
     const auto allowed = std::min(route_->timeout_, head_.patience_.value_or(route_->timeout_));
-    until_ = arrivedAt_ + allowed;
+    deadline_ = arrivedAt_ + allowed;
     regions_.ofRoute_ = route_->regions_;
     priority_ = route_->priority_;
     if (route_->needsKey_ && !routes_->configuration().teams_.empty()) {
         if (gateway_.unconfirmedFor() > gateway_.bounds().longestUnconfirmed_) {
-            refuse(statusUnavailable, "keys not confirmed lately", comeBackLater);
+            refuse(statusUnavailable, "keys not confirmed lately", controlStateRetryDelay);
             return false;
         }
         const auto *team = routes_->team(head_.key_);
@@ -86,17 +86,17 @@
         regions_.ofTeam_ = team->regions_;
         priority_ = team->priority_.value_or(priority_);
     }
-    const auto *backend = chooseBackend(*route_, gateway_.draw());
+    const auto *backend = chooseBackend(*route_, gateway_.randomUnit());
     service_ = backend == nullptr ? nullptr : routes_->service(backend->service_);
     if (service_ == nullptr) {
-        refuse(statusUnavailable, "the route leads to no known service", comeBackLater);
+        refuse(statusUnavailable, "the route leads to no known service", controlStateRetryDelay);
         return false;
     }
     fingerprint_
         = fingerprintOf({request_.method_, head_.host_, request_.target_, team_, request_.body_});
     if (refuseQuarantined())
         return false;
-    if (const auto reason = hopeless(gateway_.parts().clock_.now())) {
+    if (const auto reason = unservableReason(gateway_.parts().clock_.now())) {
         refuse(statusUnavailable, *reason, std::nullopt);
         return false;
     }
@@ -104,9 +104,9 @@
 }
 
 /// True if a request has waited its share for what the process learns.
-bool Session::hasWaitedEnough(TimePoint now) const
+bool Session::isStartupWaitOver(TimePoint now) const
 {
-    const auto allowed = toSeconds(head_.patience_.value_or(leastCallerPatience)) * learningShare;
+    const auto allowed = toSeconds(head_.patience_.value_or(minCallerPatience)) * startupWaitShare;
     return toSeconds(now - arrivedAt_) >= allowed;
 }
 
@@ -126,20 +126,20 @@
 /// One that an endpoint is answering has begun without ending it, and goes on there.
 void Session::quarantined(const PoisonVerdict &verdict)
 {
-    const bool isAdmitted = !isDone_ && !isWaiting_ && service_ != nullptr;
+    const bool isAdmitted = !isDone_ && !awaitsStartup_ && service_ != nullptr;
     const bool isAnswered = isStreamEnded_ || (call_ && hasProgress_);
     if (!isAdmitted || isAnswered || fingerprint_ != verdict.request_)
         return;
     isHeld_ = false;
     dropAttempt();
-    if (mayHaveRun_ > 0 || events_ > 0)
+    if (possibleRuns_ > 0 || events_ > 0)
         giveUp(poisonReason);
     else
         (void)refuseQuarantined();
 }
 
 /// Why no group could serve the request any more, whatever becomes free; absent if one may.
-std::optional<std::string_view> Session::hopeless(TimePoint now) const
+std::optional<std::string_view> Session::unservableReason(TimePoint now) const
 {
     return whyNotServable(*service_, {head_.model_, head_.promptTokens_, timeLeft(now)});
 }
--- a/src/serving/session_answer.cpp
+++ b/src/serving/session_answer.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::uint32_t leastServerError = 500;
+constexpr std::uint32_t minServerError = 500;
 
 /// Events held for a caller that reads slowly, bytes; then the endpoint waits.
-constexpr std::size_t mostPending = std::size_t{256} * 1024;
+constexpr std::size_t maxPendingBytes = std::size_t{256} * 1024;
 
 /// The endpoint may hold another member of its group responsible.
 std::string refusalText(std::uint32_t status, const VmId &failedMember)
@@ -28,21 +28,21 @@
 {
     const auto now = gateway_.parts().clock_.now();
     const auto answer = gateway_.parts().dialect_.answerHead(head);
-    takeNotices(answer, now);
+    recordNotices(answer, now);
     if (answer.isRefused_) {
-        --mayHaveRun_;
-        noteRefusal(answer.isWrongPlace_, now);
+        --possibleRuns_;
+        recordRefusal(answer.isWrongPlace_, now);
         attemptFailed(Failure::Refused, refusalText(head.status_, answer.failedMember_));
         return;
     }
     const bool isSuccess = head.status_ >= 200 && head.status_ < 300;
-    noteAnswer(head.status_, now);
+    recordAnswerStatus(head.status_, now);
     if (isSuccess && !answer.isSealed_) {
         attemptFailed(Failure::Unknown, "an answer without the endpoint's seal");
         return;
     }
-    const bool isWorthRepeating = head.status_ >= leastServerError && phase_ == Phase::Waiting;
-    if (isWorthRepeating && moveElsewhere("status " + std::to_string(head.status_), now))
+    const bool isWorthRetrying = head.status_ >= minServerError && phase_ == Phase::Waiting;
+    if (isWorthRetrying && moveToOtherEndpoint("status " + std::to_string(head.status_), now))
         return;
     if (isSuccess && isStream()) {
         takeStreamHead(head);
@@ -52,13 +52,13 @@
         attemptFailed(Failure::Unknown, "status " + std::to_string(head.status_));
         return;
     }
-    phase_ = Phase::Whole;
+    phase_ = Phase::Buffered;
     answer_ = std::move(head);
     answer_.body_.clear();
 }
 
 /// An endpoint that names a cooldown has not run the request and is as good as any after it.
-void Session::noteRefusal(bool isWrongPlace, TimePoint now)
+void Session::recordRefusal(bool isWrongPlace, TimePoint now)
 {
     gateway_.parts().board_.failed(target_.endpoint_, now);
     if (!isWrongPlace && gateway_.notices().cooldown(target_.life(), now))
@@ -67,14 +67,14 @@
 
 /// A failure of the endpoint's own counts as run, and against the endpoint unless the request has
 /// failed elsewhere too.
-void Session::noteAnswer(std::uint32_t status, TimePoint now)
+void Session::recordAnswerStatus(std::uint32_t status, TimePoint now)
 {
     auto &board = gateway_.parts().board_;
-    if (status < leastServerError) {
+    if (status < minServerError) {
         board.progressed(target_.endpoint_, now);
         return;
     }
-    noteProgress(now);
+    recordProgress(now);
     if (!gateway_.blamesEndpoint(fingerprint_, target_.endpoint_))
         return;
     board.erred(target_.endpoint_,
@@ -92,44 +92,44 @@
 void Session::onData(std::string_view data)
 {
     const auto now = gateway_.parts().clock_.now();
-    if (answer_.status_ < leastServerError)
+    if (answer_.status_ < minServerError)
         gateway_.parts().board_.progressed(target_.endpoint_, now);
-    if (phase_ == Phase::Whole) {
-        noteProgress(now);
+    if (phase_ == Phase::Buffered) {
+        recordProgress(now);
         answer_.body_.append(data);
         call_->consume(data.size());
         return;
     }
-    passEvents(data);
+    forwardEvents(data);
 }
 
-void Session::noteEvents(TimePoint now)
+void Session::recordEvents(TimePoint now)
 {
     const auto &metrics = gateway_.parts().metrics_;
     if (events_ == 0) {
-        firstAfter_ = now - arrivedAt_;
-        metrics.firstByte_.observe(toSeconds(firstAfter_));
+        firstEventDelay_ = now - arrivedAt_;
+        metrics.firstByte_.observe(toSeconds(firstEventDelay_));
     } else {
-        longestPause_ = std::max(longestPause_, now - eventAt_);
-        metrics.pause_.observe(toSeconds(now - eventAt_));
+        maxEventGap_ = std::max(maxEventGap_, now - lastEventAt_);
+        metrics.eventGap_.observe(toSeconds(now - lastEventAt_));
     }
-    eventAt_ = now;
+    lastEventAt_ = now;
 }
 
-void Session::passEvents(std::string_view data)
+void Session::forwardEvents(std::string_view data)
 {
-    const auto whole = wholeEvents(data);
+    const auto whole = scanCompleteEvents(data);
     if (whole.count_ > 0) {
         const auto now = gateway_.parts().clock_.now();
-        noteEvents(now);
-        noteProgress(now);
+        recordEvents(now);
+        recordProgress(now);
         events_ += whole.count_;
         if (whole.lastId_)
-            lastEvent_ = whole.lastId_;
+            lastEventId_ = whole.lastId_;
         pending_.append(data.substr(0, whole.size_));
     }
     flush();
-    if (call_ && pending_.size() < mostPending)
+    if (call_ && pending_.size() < maxPendingBytes)
         call_->consume(whole.size_);
 }
 
@@ -139,7 +139,7 @@
         return;
     if (pending_.empty() && !isStreamEnded_)
         return;
-    startAnswer();
+    sendStreamHead();
     if (pending_.empty()) {
         std::exchange(exchange_, nullptr)->finish({});
         finish("served", "");
@@ -158,7 +158,7 @@
 }
 
 /// The head leaves with the first event, or with the end of a stream that has none.
-void Session::startAnswer()
+void Session::sendStreamHead()
 {
     if (answer_.status_ == 0)
         return;
@@ -172,25 +172,25 @@
 void Session::onEnd(std::string_view rest)
 {
     auto &board = gateway_.parts().board_;
-    if (answer_.status_ < leastServerError) {
+    if (answer_.status_ < minServerError) {
         board.progressed(target_.endpoint_, gateway_.parts().clock_.now());
         board.succeeded(target_.endpoint_);
     }
     if (phase_ == Phase::Streaming)
         endStream(rest);
     else
-        answerWhole(rest);
+        sendBufferedAnswer(rest);
 }
 
 void Session::endStream(std::string_view rest)
 {
-    const auto whole = wholeEvents(rest);
+    const auto whole = scanCompleteEvents(rest);
     if (whole.size_ != rest.size()) {
         pending_.append(rest.substr(0, whole.size_));
         if (whole.lastId_)
-            lastEvent_ = whole.lastId_;
+            lastEventId_ = whole.lastId_;
         events_ += whole.count_;
-        noteBroken();
+        reportBrokenAttempt();
         attemptFailed(Failure::Unknown, "the stream ends inside an event");
         return;
     }
@@ -201,13 +201,13 @@
     flush();
 }
 
-void Session::answerWhole(std::string_view rest)
+void Session::sendBufferedAnswer(std::string_view rest)
 {
     answer_.body_.append(rest);
     dropAttempt();
     const auto now = gateway_.parts().clock_.now();
-    firstAfter_ = now - arrivedAt_;
-    gateway_.parts().metrics_.firstByte_.observe(toSeconds(firstAfter_));
+    firstEventDelay_ = now - arrivedAt_;
+    gateway_.parts().metrics_.firstByte_.observe(toSeconds(firstEventDelay_));
     net::HttpResponse response;
     response.status_ = answer_.status_;
     response.fields_ = gateway_.parts().dialect_.callerFields(answer_);
--- a/src/serving/session_end.cpp
+++ b/src/serving/session_end.cpp
@@ -37,10 +37,10 @@
 } // namespace
 
 void Session::refuse(std::uint32_t status, std::string_view reason,
-                     std::optional<Duration> comeBack)
+                     std::optional<Duration> retryAfter)
 {
     auto exchange = std::exchange(exchange_, nullptr);
-    exchange->respond(gateway_.parts().dialect_.failure(status, reason, comeBack));
+    exchange->respond(gateway_.parts().dialect_.failure(status, reason, retryAfter));
     finish("refused", reason);
 }
 
@@ -71,11 +71,11 @@
         finish("broken-off", reason);
         return;
     }
-    if (mayHaveRun_ == 0) {
-        refuse(statusUnavailable, reason, comeBack());
+    if (possibleRuns_ == 0) {
+        refuse(statusUnavailable, reason, retryDelay());
         return;
     }
-    const bool isTimeout = gateway_.parts().clock_.now() >= until_;
+    const bool isTimeout = gateway_.parts().clock_.now() >= deadline_;
     auto exchange = std::exchange(exchange_, nullptr);
     exchange->respond(gateway_.parts().dialect_.failure(
         isTimeout ? statusTimeout : statusBadGateway, reason, std::nullopt));
@@ -93,7 +93,7 @@
     if (outcome == "served") {
         gateway_.poisonPills().served(fingerprint_, gateway_.parts().clock_.now());
         metrics.served_.increment();
-        metrics.whole_.observe(toSeconds(elapsed));
+        metrics.answerDuration_.observe(toSeconds(elapsed));
     } else if (outcome == "refused") {
         metrics.refused_.increment();
     } else if (outcome == "caller-left") {
@@ -114,17 +114,17 @@
         {"endpoints-age-ms", std::to_string(toMilliseconds(viewAge_))},
         {"events", std::to_string(events_)},
         {"sends", std::to_string(sends_)},
-        {"may-have-run", std::to_string(mayHaveRun_)},
-        {"first-ms", std::to_string(toMilliseconds(firstAfter_))},
-        {"longest-pause-ms", std::to_string(toMilliseconds(longestPause_))},
+        {"may-have-run", std::to_string(possibleRuns_)},
+        {"first-ms", std::to_string(toMilliseconds(firstEventDelay_))},
+        {"longest-pause-ms", std::to_string(toMilliseconds(maxEventGap_))},
         {"prompt", std::to_string(head_.promptTokens_)},
         {"most-answer", std::to_string(head_.mostAnswerTokens_)},
         {"likely-answer", std::to_string(head_.likelyAnswerTokens_)},
         {"elapsed-ms", std::to_string(toMilliseconds(elapsed))}};
     if (target_.passedOver_ > 0)
         details.push_back({"passed-over", std::to_string(target_.passedOver_)});
-    if (comeBackIn_ && outcome == "refused")
-        details.push_back({"come-back-ms", std::to_string(toMilliseconds(*comeBackIn_))});
+    if (retryAfter_ && outcome == "refused")
+        details.push_back({"come-back-ms", std::to_string(toMilliseconds(*retryAfter_))});
     if (limit_)
         appendLimit(details, *limit_, attemptAt_, isReserved_);
     log::write(log::Level::Info, event::requestFinished, details);
--- a/src/serving/session_limits.cpp
+++ b/src/serving/session_limits.cpp
@@ -21,7 +21,7 @@
     return reservation_ && reservation_->isAlive(now);
 }
 
-bool Session::hasTurn() const
+bool Session::hasOpenReservation() const
 {
     return reservation_ && reservation_->isOpen(gateway_.parts().clock_.now());
 }
@@ -33,7 +33,7 @@
 }
 
 /// A send to an endpoint that wants nothing now is of use to another entry VM.
-void Session::dropBarredReservation(TimePoint now)
+void Session::dropUnusableReservation(TimePoint now)
 {
     if (reservation_ && gateway_.gate().bar(reservation_->endpoint(), now))
         reservation_.reset();
@@ -41,7 +41,7 @@
 
 /// Another endpoint that has the address says nothing of this one, and a refusal need not name a
 /// limit that holds on.
-void Session::takeNotices(const AnswerHead &answer, TimePoint now)
+void Session::recordNotices(const AnswerHead &answer, TimePoint now)
 {
     if (!answer.isWrongPlace_)
         gateway_.notices().take({target_.life(), attemptAt_, answer.isRefused_}, answer.notices_,
--- a/tests/crashing_requests/callers.cpp
+++ b/tests/crashing_requests/callers.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-Outcome playAll(const Load &load, std::uint64_t seeds, const char *name)
+Outcome simulateAll(const Load &load, std::uint64_t seeds, const char *name)
 {
     Outcome sum;
     std::size_t mostLate = 0;
     std::size_t mostEnded = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const auto one = play(load, seed);
+        const auto one = simulate(load, seed);
         sum.asked_ += one.asked_;
         sum.onTime_ += one.onTime_;
         sum.served_ += one.served_;
@@ -47,7 +47,7 @@
     Load load;
     load.poisonCallers_ = 4;
     load.poisonFor_ = seconds(15);
-    const auto sum = playAll(load, 20, "poison pill, 4 callers for 15 s, 7 entry VMs");
+    const auto sum = simulateAll(load, 20, "poison pill, 4 callers for 15 s, 7 entry VMs");
     cr_assert_leq(sum.poisonLate_, 3);
     cr_assert_gt(sum.onTime_, sum.asked_ * 8 / 10);
     cr_assert_leq(sum.quarantined_, sum.asked_ / 1000);
@@ -60,7 +60,8 @@
     load.poisonFor_ = seconds(15);
     load.lossShare_ = 0.33;
     load.entries_ = 20;
-    const auto sum = playAll(load, 20, "poison pill, 20 entry VMs, a third of the datagrams lost");
+    const auto sum
+        = simulateAll(load, 20, "poison pill, 20 entry VMs, a third of the datagrams lost");
     cr_assert_leq(sum.poisonLate_, 3);
     cr_assert_leq(sum.quarantined_, sum.asked_ / 1000);
 }
@@ -71,7 +72,7 @@
     load.poisonCallers_ = 2;
     load.poisonFor_ = seconds(15);
     load.answersFirst_ = true;
-    const auto sum = playAll(load, 10, "the same after its first event, 2 callers");
+    const auto sum = simulateAll(load, 10, "the same after its first event, 2 callers");
     cr_assert_leq(sum.poisonLate_, 3);
     cr_assert_leq(sum.quarantined_, sum.asked_ / 1000);
 }
@@ -80,7 +81,7 @@
 {
     Load load;
     load.crashEvery_ = milliseconds(1500);
-    const auto sum = playAll(load, 20, "a seventh of the groups ends every 1.5 s");
+    const auto sum = simulateAll(load, 20, "a seventh of the groups ends every 1.5 s");
     cr_assert_eq(sum.quarantined_, 0);
 }
 
@@ -90,7 +91,7 @@
     load.crashEvery_ = seconds(3);
     load.poisonCallers_ = 4;
     load.poisonFor_ = seconds(15);
-    const auto sum = playAll(load, 20, "both, a seventh every 3 s");
+    const auto sum = simulateAll(load, 20, "both, a seventh every 3 s");
     cr_assert_leq(sum.poisonLate_, 3);
     cr_assert_leq(sum.quarantined_, sum.asked_ / 1000);
 }
--- a/tests/crashing_requests/failing.cpp
+++ b/tests/crashing_requests/failing.cpp
@@ -17,10 +17,10 @@
 namespace {
 
 /// Answers all calls for \p path that are under way with a failure of the endpoint's own.
-void failCalls(GatewayFixture &bench, std::string_view path)
+void failCalls(GatewayFixture &fixture, std::string_view path)
 {
-    for (std::size_t i = 0; i < bench.upstream_.calls_.size(); ++i) {
-        const auto call = bench.upstream_.calls_[i];
+    for (std::size_t i = 0; i < fixture.upstream_.calls_.size(); ++i) {
+        const auto call = fixture.upstream_.calls_[i];
         if (call->isDropped() || call->request_.target_ != path)
             continue;
         call->connect();
@@ -34,31 +34,31 @@
 
 Test(crashing_requests, request_that_every_endpoint_fails_does_not_have_them_all_avoided)
 {
-    GatewayFixture bench;
+    GatewayFixture fixture;
     for (int i = 0; i < 6; ++i)
-        bench.addGroup("head-" + std::to_string(i));
+        fixture.addGroup("head-" + std::to_string(i));
     std::size_t served = 0;
     for (int i = 0; i < 20; ++i) {
-        (void)bench.ask("/stream/fails");
-        failCalls(bench, "/stream/fails");
-        const auto before = bench.upstream_.calls_.size();
-        const auto other = bench.ask("/stream/" + std::to_string(i));
-        if (bench.upstream_.calls_.size() > before) {
+        (void)fixture.ask("/stream/fails");
+        failCalls(fixture, "/stream/fails");
+        const auto before = fixture.upstream_.calls_.size();
+        const auto other = fixture.ask("/stream/" + std::to_string(i));
+        if (fixture.upstream_.calls_.size() > before) {
             ++served;
-            bench.lastCall()->connect();
-            bench.lastCall()->sealedHead();
-            bench.lastCall()->end("");
+            fixture.lastCall()->connect();
+            fixture.lastCall()->sealedHead();
+            fixture.lastCall()->end("");
         }
-        bench.pass(milliseconds(100));
+        fixture.pass(milliseconds(100));
     }
     cr_assert_geq(served, 19);
 }
 
 Test(crashing_requests, endpoint_that_fails_different_requests_is_avoided)
 {
-    GatewayFixture bench;
-    bench.addGroup("head-1");
-    (void)bench.ask("/stream/1");
-    failCalls(bench, "/stream/1");
-    cr_assert_not(bench.board_.isUsable(VmId("head-1"), bench.clock_.now()));
+    GatewayFixture fixture;
+    fixture.addGroup("head-1");
+    (void)fixture.ask("/stream/1");
+    failCalls(fixture, "/stream/1");
+    cr_assert_not(fixture.board_.isUsable(VmId("head-1"), fixture.clock_.now()));
 }
--- a/tests/crashing_requests/load.cpp
+++ b/tests/crashing_requests/load.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-constexpr Duration settling = seconds(4);
-constexpr Duration entryLapses = milliseconds(3600);
-constexpr Duration engineBack = seconds(6);
-constexpr Duration onTime = seconds(1);
-constexpr Duration bound = seconds(3);
+constexpr Duration settlingPeriod = seconds(4);
+constexpr Duration listingExpiry = milliseconds(3600);
+constexpr Duration engineReplacementDelay = seconds(6);
+constexpr Duration onTimeLimit = seconds(1);
+constexpr Duration spreadLimit = seconds(3);
 constexpr auto poisonPath = "/stream/poison";
 
 struct Run
@@ -50,10 +50,10 @@
 };
 
 /// One play.
-class Play
+class Simulation
 {
 public:
-    Play(const Load &load, std::uint64_t seed)
+    Simulation(const Load &load, std::uint64_t seed)
         : load_(load)
         , random_(seed)
         , fleet_(load.entries_, load.entries_ > 7 ? 5 : 3, 2, seed)
@@ -61,27 +61,27 @@
     {
         fleet_.faults_.lossShare_ = load.lossShare_;
         for (std::size_t i = 0; i < load.groups_; ++i)
-            open();
+            addGroup();
         fleet_.configure(1, {"key"});
         fleet_.start();
-        fleet_.pass(settling);
+        fleet_.pass(settlingPeriod);
         startedAt_ = now();
         crashedAt_ = now();
     }
 
     Outcome run()
     {
-        while (now() - startedAt_ < load_.length_ + settling) {
+        while (now() - startedAt_ < load_.length_ + settlingPeriod) {
             // Steps of one length would keep in step with the sweeps and digests of the gateways.
             const Duration step = milliseconds(10 + random_.below(21));
             if (now() - startedAt_ < load_.length_)
-                arrive(step);
+                startCallers(step);
             fleet_.pass(step);
             takeCalls();
-            work();
-            crashSome();
+            processRuns();
+            crashRandomGroups();
             replaceEnded();
-            listen();
+            checkCallers();
         }
         return outcome_;
     }
@@ -89,9 +89,9 @@
 private:
     [[nodiscard]] TimePoint now() const { return fleet_.clock_.now(); }
 
-    void open()
+    void addGroup()
     {
-        const auto head = "head-" + std::to_string(opened_++);
+        const auto head = "head-" + std::to_string(addedGroups_++);
         groups_.emplace(head, Group{});
         fleet_.listGroup(head);
     }
@@ -103,10 +103,10 @@
         caller.againAt_ = {};
     }
 
-    void arrive(Duration step)
+    void startCallers(Duration step)
     {
-        due_ += load_.callersPerSecond_ * toSeconds(step);
-        for (; due_ >= 1; due_ -= 1) {
+        dueCallers_ += load_.callersPerSecond_ * toSeconds(step);
+        for (; dueCallers_ >= 1; dueCallers_ -= 1) {
             Caller caller;
             caller.path_ = "/stream/" + std::to_string(outcome_.asked_++);
             caller.since_ = now();
@@ -150,36 +150,36 @@
         run.beginsAt_ = now() + milliseconds(40 + random_.below(300));
         run.endsAt_ = run.beginsAt_ + milliseconds(800 + random_.below(1500));
         if (run.isPoison_)
-            notePoison();
+            countPoisonSend();
         found->second.runs_.push_back(std::move(run));
     }
 
-    void notePoison()
+    void countPoisonSend()
     {
         ++outcome_.poisonSends_;
-        if (thirdEnd_ != TimePoint{} && now() - thirdEnd_ > bound)
+        if (thirdCrashAt_ != TimePoint{} && now() - thirdCrashAt_ > spreadLimit)
             ++outcome_.poisonLate_;
     }
 
-    void work()
+    void processRuns()
     {
         for (auto &[head, group] : groups_) {
             if (group.hasEnded())
                 continue;
             std::erase_if(group.runs_, [](const Run &run) { return run.call_->isDropped(); });
             for (std::size_t i = 0; i < group.runs_.size() && !group.hasEnded(); ++i)
-                proceed(head, group, i);
+                advanceRun(head, group, i);
         }
     }
 
-    void proceed(const std::string &head, Group &group, std::size_t index)
+    void advanceRun(const std::string &head, Group &group, std::size_t index)
     {
         auto &run = group.runs_[index];
         if (run.call_->isDropped() || now() < run.beginsAt_)
             return;
         if (!std::exchange(run.hasBegun_, true)) {
             if (run.isPoison_ && !load_.answersFirst_) {
-                endUnderPoison(head, group);
+                crashUnderPoison(head, group);
                 return;
             }
             const auto call = run.call_;
@@ -188,7 +188,7 @@
             return;
         }
         if (run.isPoison_ && now() - run.beginsAt_ > milliseconds(200)) {
-            endUnderPoison(head, group);
+            crashUnderPoison(head, group);
             return;
         }
         if (!run.isPoison_ && now() >= run.endsAt_) {
@@ -197,10 +197,10 @@
         }
     }
 
-    void endUnderPoison(const std::string &head, Group &group)
+    void crashUnderPoison(const std::string &head, Group &group)
     {
         if (++outcome_.ended_ == 3)
-            thirdEnd_ = now();
+            thirdCrashAt_ = now();
         end(head, group);
     }
 
@@ -216,7 +216,7 @@
         }
     }
 
-    void crashSome()
+    void crashRandomGroups()
     {
         if (load_.crashEvery_ == Duration::zero() || now() - crashedAt_ < load_.crashEvery_)
             return;
@@ -237,26 +237,26 @@
     {
         std::size_t back = 0;
         for (auto &[head, group] : groups_) {
-            if (group.isListed_ && group.hasEnded() && now() - group.endedAt_ > entryLapses) {
+            if (group.isListed_ && group.hasEnded() && now() - group.endedAt_ > listingExpiry) {
                 group.isListed_ = false;
                 fleet_.list(head, "");
             }
-            back += group.hasEnded() && now() - group.endedAt_ > engineBack ? 1 : 0;
+            back += group.hasEnded() && now() - group.endedAt_ > engineReplacementDelay ? 1 : 0;
         }
-        for (; replaced_ < back; ++replaced_)
-            open();
+        for (; replacedGroups_ < back; ++replacedGroups_)
+            addGroup();
     }
 
-    void listen()
+    void checkCallers()
     {
         for (auto &caller : callers_) {
             if (!caller.isDone_)
-                listen(caller);
+                checkCallers(caller);
         }
         std::erase_if(callers_, [](const Caller &caller) { return caller.isDone_; });
     }
 
-    void listen(Caller &caller)
+    void checkCallers(Caller &caller)
     {
         const auto &view = *caller.view_;
         if (caller.againAt_ != TimePoint{}) {
@@ -265,7 +265,7 @@
             return;
         }
         if (!view.streamed_.empty() && !std::exchange(caller.hasEvent_, true))
-            caller.isOnTime_ = now() - caller.since_ <= onTime;
+            caller.isOnTime_ = now() - caller.since_ <= onTimeLimit;
         if (view.isFinished_) {
             outcome_.served_ += caller.isPoison_ ? 0 : 1;
             outcome_.onTime_ += !caller.isPoison_ && caller.isOnTime_ ? 1 : 0;
@@ -292,20 +292,20 @@
     std::map<std::string, Group> groups_;
     std::vector<Caller> callers_;
     std::vector<std::size_t> scanned_; ///< Calls of each node that were taken.
-    std::size_t opened_ = 0;
-    std::size_t replaced_ = 0;
-    double due_ = 0;
+    std::size_t addedGroups_ = 0;
+    std::size_t replacedGroups_ = 0;
+    double dueCallers_ = 0;
     bool isPoisoned_ = false;
     TimePoint startedAt_{};
     TimePoint crashedAt_{};
-    TimePoint thirdEnd_{};
+    TimePoint thirdCrashAt_{};
 };
 
 } // namespace
 
-Outcome play(const Load &load, std::uint64_t seed)
+Outcome simulate(const Load &load, std::uint64_t seed)
 {
-    return Play(load, seed).run();
+    return Simulation(load, seed).run();
 }
 
 } // namespace cardamombay::crashing
--- a/tests/crashing_requests/load.hpp
+++ b/tests/crashing_requests/load.hpp
@@ -41,6 +41,6 @@
 };
 
 /// \brief Plays \p load with the luck of \p seed.
-[[nodiscard]] Outcome play(const Load &load, std::uint64_t seed);
+[[nodiscard]] Outcome simulate(const Load &load, std::uint64_t seed);
 
 } // namespace cardamombay::crashing
--- a/tests/crashing_requests/regressions.cpp
+++ b/tests/crashing_requests/regressions.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 /// Sends of such a request that may be under way or tried again once three endpoints have ended.
-constexpr std::size_t mostMore = 3;
+constexpr std::size_t maxFurtherSends = 3;
 
 /// Lets the endpoints of all new calls for \p path end as they begin to run it.
 /// \returns how many ended.
@@ -76,35 +76,35 @@
 
 Test(crashing_requests, request_under_which_three_endpoints_ended_is_not_sent_any_more)
 {
-    GatewayFixture bench;
+    GatewayFixture fixture;
     for (int i = 0; i < 40; ++i)
-        bench.addGroup("head-" + std::to_string(i));
+        fixture.addGroup("head-" + std::to_string(i));
     std::size_t reached = 0;
     for (int i = 0; i < 10; ++i) {
-        (void)bench.ask("/stream/crash");
-        reached += crashCalls(bench.upstream_, "/stream/crash", [&](const std::string &endpoint) {
-            bench.book_.remove(VmId(endpoint), bench.clock_.now());
+        (void)fixture.ask("/stream/crash");
+        reached += crashCalls(fixture.upstream_, "/stream/crash", [&](const std::string &endpoint) {
+            fixture.book_.remove(VmId(endpoint), fixture.clock_.now());
         });
-        bench.pass(milliseconds(300));
+        fixture.pass(milliseconds(300));
     }
-    cr_assert_leq(reached, 3 + mostMore);
+    cr_assert_leq(reached, 3 + maxFurtherSends);
 }
 
 Test(crashing_requests, all_entry_vms_know_within_a_second_which_request_ends_endpoints)
 {
     for (const std::size_t entries : {7U, 40U, 195U}) {
-        Fleet bench(entries);
+        Fleet fixture(entries);
         std::size_t before = 0;
         for (std::size_t i = 0; i < 3; ++i) {
-            before += bench.arrive(i * 2);
-            bench.fleet_.pass(milliseconds(300));
+            before += fixture.arrive(i * 2);
+            fixture.fleet_.pass(milliseconds(300));
         }
         cr_assert_geq(before, 3);
-        bench.fleet_.pass(milliseconds(700));
+        fixture.fleet_.pass(milliseconds(700));
         std::size_t more = 0;
         for (std::size_t i = 0; i < entries; ++i)
-            more += bench.arrive(i);
-        cr_assert_leq(more, mostMore, "%zu of %zu entry VMs sent it on", more, entries);
+            more += fixture.arrive(i);
+        cr_assert_leq(more, maxFurtherSends, "%zu of %zu entry VMs sent it on", more, entries);
     }
 }
 
@@ -130,5 +130,5 @@
         (void)askAt(node.gateway_, "/stream/crash", "m", "key-a");
         more += crashCalls(node.upstream_, "/stream/crash", [](const std::string &) {});
     }
-    cr_assert_leq(more, mostMore);
+    cr_assert_leq(more, maxFurtherSends);
 }
--- a/tests/crashing_requests/spread.cpp
+++ b/tests/crashing_requests/spread.cpp
@@ -21,7 +21,7 @@
 const RequestFingerprint pill(7);
 
 /// Three endpoints end under the pill, each seen by another entry VM.
-void endThree(NodeFleet &fleet)
+void crashThreeEndpoints(NodeFleet &fleet)
 {
     const std::size_t seen[] = {fleet.size() / 3, fleet.size() / 2, fleet.size() - 1};
     for (int i = 0; i < 3; ++i) {
@@ -31,7 +31,7 @@
     }
 }
 
-bool knows(NodeFleet &fleet, std::size_t index)
+bool hasVerdict(NodeFleet &fleet, std::size_t index)
 {
     return fleet.node(index)
         .gateway_.poisonPills()
@@ -40,13 +40,13 @@
 }
 
 /// Time from the third end until each entry VM knows; the longest if it does not within the bound.
-std::vector<Duration> spread(NodeFleet &fleet)
+std::vector<Duration> timesUntilKnown(NodeFleet &fleet)
 {
     std::vector<Duration> result(fleet.size(), Duration::max());
     const auto from = fleet.clock_.now();
     while (fleet.clock_.now() - from < bound) {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
-            if (result[i] == Duration::max() && knows(fleet, i))
+            if (result[i] == Duration::max() && hasVerdict(fleet, i))
                 result[i] = fleet.clock_.now() - from;
         }
         fleet.pass(milliseconds(10));
@@ -55,7 +55,7 @@
     return result;
 }
 
-std::unique_ptr<NodeFleet> started(std::size_t entries, std::uint64_t seed)
+std::unique_ptr<NodeFleet> startedFleet(std::size_t entries, std::uint64_t seed)
 {
     auto fleet = std::make_unique<NodeFleet>(entries, entries > 7 ? 5 : 3, 2, seed);
     fleet->faults_ = {0.05, milliseconds(20)};
@@ -71,9 +71,9 @@
 {
     for (const std::size_t entries : {7U, 88U, 195U}) {
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-            const auto fleet = started(entries, seed);
-            endThree(*fleet);
-            const auto times = spread(*fleet);
+            const auto fleet = startedFleet(entries, seed);
+            crashThreeEndpoints(*fleet);
+            const auto times = timesUntilKnown(*fleet);
             std::printf(
                 "%zu entry VMs, one datagram in 20 lost, seed %llu: the first knows after %lld "
                 "ms, half after %lld, nine in ten after %lld, all after %lld\n",
@@ -89,44 +89,44 @@
 
 Test(crashing_requests, every_entry_vm_but_those_suspended_knows_though_reporters_are_among_them)
 {
-    const auto fleet = started(195, 4);
+    const auto fleet = startedFleet(195, 4);
     // Half of the large entry VMs, from which the reporters of the zones are taken.
     std::set<std::size_t> suspended{0, 1, 2, 3, 4};
     for (const auto index : suspended)
         fleet->node(index).clock_.setPaused(true);
-    endThree(*fleet);
+    crashThreeEndpoints(*fleet);
     fleet->pass(bound);
     for (std::size_t i = 0; i < fleet->size(); ++i)
-        cr_assert(suspended.contains(i) || knows(*fleet, i), "entry VM %zu", i);
+        cr_assert(suspended.contains(i) || hasVerdict(*fleet, i), "entry VM %zu", i);
 }
 
 Test(crashing_requests, entry_vm_that_was_suspended_or_cut_off_learns_the_verdict_afterwards)
 {
-    const auto fleet = started(40, 5);
+    const auto fleet = startedFleet(40, 5);
     auto &suspended = fleet->node(13);
     suspended.clock_.setPaused(true);
     auto &cutOff = fleet->node(14);
     cutOff.readsLateBy_ = seconds(60);
-    endThree(*fleet);
+    crashThreeEndpoints(*fleet);
     fleet->pass(seconds(8));
-    cr_assert_not(knows(*fleet, 14));
+    cr_assert_not(hasVerdict(*fleet, 14));
     suspended.clock_.setPaused(false);
     cutOff.readsLateBy_ = {};
     fleet->pass(seconds(1));
-    cr_assert(knows(*fleet, 13));
-    cr_assert(knows(*fleet, 14));
+    cr_assert(hasVerdict(*fleet, 13));
+    cr_assert(hasVerdict(*fleet, 14));
 }
 
 Test(crashing_requests, verdict_is_kept_in_the_store_by_one_entry_vm_only_and_deleted_at_its_end)
 {
-    const auto fleet = started(40, 6);
+    const auto fleet = startedFleet(40, 6);
     const auto rows = [&] {
         std::size_t result = 0;
         for (const auto &[key, row] : fleet->platform_.rows())
             result += key.table_ == "quarantine" ? 1 : 0;
         return result;
     };
-    endThree(*fleet);
+    crashThreeEndpoints(*fleet);
     const auto before = fleet->storeCalls();
     fleet->pass(seconds(2));
     cr_assert_eq(rows(), 1);
@@ -137,14 +137,14 @@
 
 Test(crashing_requests, operator_lifts_a_quarantine_by_deleting_its_row)
 {
-    const auto fleet = started(7, 8);
-    endThree(*fleet);
+    const auto fleet = startedFleet(7, 8);
+    crashThreeEndpoints(*fleet);
     fleet->pass(seconds(2));
-    cr_assert(knows(*fleet, 3));
+    cr_assert(hasVerdict(*fleet, 3));
     platform::Transaction transaction;
     transaction.writes_.push_back({{"quarantine", pill.text()}, std::nullopt});
     (void)fleet->platform_.apply(transaction);
     fleet->pass(seconds(35));
     for (std::size_t i = 0; i < fleet->size(); ++i)
-        cr_assert_not(knows(*fleet, i), "entry VM %zu", i);
+        cr_assert_not(hasVerdict(*fleet, i), "entry VM %zu", i);
 }
--- a/tests/serving/crash_detector.cpp
+++ b/tests/serving/crash_detector.cpp
@@ -16,9 +16,9 @@
 const EndpointLife engine{VmId("e-1"), 7};
 
 /// A detector whose reports are kept.
-struct Bench
+struct DetectorFixture
 {
-    Bench()
+    DetectorFixture()
     {
         detector_.onCrash([this](const EndpointCrash &crash) { crashes_.push_back(crash); });
     }
@@ -46,59 +46,59 @@
 
 Test(crash_detector, endpoint_at_which_nobody_listens_any_more_has_ended)
 {
-    Bench bench;
-    bench.upstream_.ended_.insert(address);
-    bench.detector_.attemptBroke(engine, address, request(1));
-    bench.detector_.attemptBroke(engine, address, request(2, true));
-    bench.pass(milliseconds(40));
-    cr_assert_eq(bench.crashes_.size(), 1);
-    cr_assert_eq(bench.crashes_[0].endpoint_, engine);
-    cr_assert_eq(bench.crashes_[0].requests_.size(), 2);
-    cr_assert_eq(bench.upstream_.probes_, 1);
+    DetectorFixture fixture;
+    fixture.upstream_.ended_.insert(address);
+    fixture.detector_.onAttemptBroken(engine, address, request(1));
+    fixture.detector_.onAttemptBroken(engine, address, request(2, true));
+    fixture.pass(milliseconds(40));
+    cr_assert_eq(fixture.crashes_.size(), 1);
+    cr_assert_eq(fixture.crashes_[0].endpoint_, engine);
+    cr_assert_eq(fixture.crashes_[0].requests_.size(), 2);
+    cr_assert_eq(fixture.upstream_.probes_, 1);
 }
 
 Test(crash_detector, endpoint_that_still_listens_has_only_broken_an_answer_off)
 {
-    Bench bench;
-    bench.detector_.attemptBroke(engine, address, request(1));
-    bench.pass(milliseconds(100));
-    cr_assert(bench.crashes_.empty());
+    DetectorFixture fixture;
+    fixture.detector_.onAttemptBroken(engine, address, request(1));
+    fixture.pass(milliseconds(100));
+    cr_assert(fixture.crashes_.empty());
     // The next broken answer is looked into anew.
-    bench.upstream_.ended_.insert(address);
-    bench.detector_.attemptBroke(engine, address, request(1));
-    bench.pass(milliseconds(100));
-    cr_assert_eq(bench.crashes_.size(), 1);
+    fixture.upstream_.ended_.insert(address);
+    fixture.detector_.onAttemptBroken(engine, address, request(1));
+    fixture.pass(milliseconds(100));
+    cr_assert_eq(fixture.crashes_.size(), 1);
 }
 
 Test(crash_detector, endpoint_that_listens_for_a_moment_longer_than_its_connections_has_ended)
 {
-    Bench bench;
-    bench.detector_.attemptBroke(engine, address, request(1));
-    bench.upstream_.ended_.insert(address);
-    bench.pass(milliseconds(60));
-    cr_assert_eq(bench.crashes_.size(), 1);
+    DetectorFixture fixture;
+    fixture.detector_.onAttemptBroken(engine, address, request(1));
+    fixture.upstream_.ended_.insert(address);
+    fixture.pass(milliseconds(60));
+    cr_assert_eq(fixture.crashes_.size(), 1);
 }
 
 Test(crash_detector, request_that_breaks_later_is_reported_once_more_for_the_same_end)
 {
-    Bench bench;
-    bench.upstream_.ended_.insert(address);
-    bench.detector_.attemptBroke(engine, address, request(1));
-    bench.pass(milliseconds(100));
-    bench.detector_.attemptBroke(engine, address, request(2));
-    bench.pass(milliseconds(100));
-    cr_assert_eq(bench.crashes_.size(), 2);
-    cr_assert_eq(bench.crashes_[1].requests_.size(), 1);
-    cr_assert_eq(bench.crashes_[1].endpoint_, engine);
+    DetectorFixture fixture;
+    fixture.upstream_.ended_.insert(address);
+    fixture.detector_.onAttemptBroken(engine, address, request(1));
+    fixture.pass(milliseconds(100));
+    fixture.detector_.onAttemptBroken(engine, address, request(2));
+    fixture.pass(milliseconds(100));
+    cr_assert_eq(fixture.crashes_.size(), 2);
+    cr_assert_eq(fixture.crashes_[1].requests_.size(), 1);
+    cr_assert_eq(fixture.crashes_[1].endpoint_, engine);
 }
 
 Test(crash_detector, endpoint_that_is_listed_with_a_new_start_has_ended)
 {
-    Bench bench;
-    bench.detector_.attemptBroke(engine, address, request(1));
-    bench.detector_.endpointRestarted(engine);
-    bench.pass(milliseconds(100));
-    cr_assert_eq(bench.crashes_.size(), 1);
+    DetectorFixture fixture;
+    fixture.detector_.onAttemptBroken(engine, address, request(1));
+    fixture.detector_.endpointRestarted(engine);
+    fixture.pass(milliseconds(100));
+    cr_assert_eq(fixture.crashes_.size(), 1);
 }
 
 Test(crash_detector, fingerprint_is_of_method_host_target_team_and_body)
--- a/tests/serving/quarantined_sessions.cpp
+++ b/tests/serving/quarantined_sessions.cpp
@@ -21,110 +21,111 @@
 }
 
 /// Three endpoints end under the request at other entry VMs.
-void quarantine(GatewayFixture &bench)
+void quarantine(GatewayFixture &fixture)
 {
     PoisonNews news;
     for (int i = 0; i < 3; ++i)
         news.crashes_[{VmId("gone-" + std::to_string(i)), 1}] = {{fingerprint(), false}};
-    bench.gateway_.takePoisonNews(news);
+    fixture.gateway_.takePoisonNews(news);
 }
 
 } // namespace
 
 Test(quarantined_sessions, new_request_is_refused_with_the_time_until_it_may_come_back)
 {
-    GatewayFixture bench;
-    bench.addGroup("head-1");
-    quarantine(bench);
-    bench.pass(seconds(10));
-    const auto caller = bench.ask(path);
+    GatewayFixture fixture;
+    fixture.addGroup("head-1");
+    quarantine(fixture);
+    fixture.pass(seconds(10));
+    const auto caller = fixture.ask(path);
     cr_assert_eq(caller->status(), 503);
     cr_assert_eq(caller->answer_->field("come-back"), "590000");
-    cr_assert(bench.upstream_.calls_.empty());
+    cr_assert(fixture.upstream_.calls_.empty());
 }
 
 Test(quarantined_sessions, others_of_the_same_team_and_path_prefix_are_served)
 {
-    GatewayFixture bench;
-    bench.addGroup("head-1");
-    quarantine(bench);
-    (void)bench.ask("/stream/8");
-    (void)bench.ask(path, "m", "key-b");
-    cr_assert_eq(bench.upstream_.calls_.size(), 2);
+    GatewayFixture fixture;
+    fixture.addGroup("head-1");
+    quarantine(fixture);
+    (void)fixture.ask("/stream/8");
+    (void)fixture.ask(path, "m", "key-b");
+    cr_assert_eq(fixture.upstream_.calls_.size(), 2);
 }
 
 Test(quarantined_sessions, held_request_has_not_run_and_is_refused_at_once)
 {
-    GatewayFixture bench;
-    const auto caller = bench.ask(path);
+    GatewayFixture fixture;
+    const auto caller = fixture.ask(path);
     cr_assert_not(caller->answer_);
-    quarantine(bench);
+    quarantine(fixture);
     cr_assert_eq(caller->status(), 503);
-    bench.addGroup("head-1");
-    bench.pass(milliseconds(100));
-    cr_assert(bench.upstream_.calls_.empty());
+    fixture.addGroup("head-1");
+    fixture.pass(milliseconds(100));
+    cr_assert(fixture.upstream_.calls_.empty());
 }
 
 Test(quarantined_sessions, request_that_waits_at_an_endpoint_is_taken_back_and_may_have_run)
 {
-    GatewayFixture bench;
-    bench.addGroup("head-1");
-    bench.addGroup("head-2");
-    const auto caller = bench.ask(path);
-    bench.lastCall()->connect();
-    quarantine(bench);
-    cr_assert(bench.lastCall()->isDropped());
+    GatewayFixture fixture;
+    fixture.addGroup("head-1");
+    fixture.addGroup("head-2");
+    const auto caller = fixture.ask(path);
+    fixture.lastCall()->connect();
+    quarantine(fixture);
+    cr_assert(fixture.lastCall()->isDropped());
     cr_assert_eq(caller->status(), 502);
-    cr_assert_eq(bench.upstream_.calls_.size(), 1);
+    cr_assert_eq(fixture.upstream_.calls_.size(), 1);
 }
 
 Test(quarantined_sessions, answer_that_has_begun_goes_on_and_clears_the_request)
 {
-    GatewayFixture bench;
-    bench.addGroup("head-1");
-    const auto caller = bench.ask(path);
-    bench.lastCall()->connect();
-    bench.lastCall()->sealedHead();
-    bench.lastCall()->data(event);
-    quarantine(bench);
-    cr_assert_not(bench.lastCall()->isDropped());
-    bench.lastCall()->end("");
+    GatewayFixture fixture;
+    fixture.addGroup("head-1");
+    const auto caller = fixture.ask(path);
+    fixture.lastCall()->connect();
+    fixture.lastCall()->sealedHead();
+    fixture.lastCall()->data(event);
+    quarantine(fixture);
+    cr_assert_not(fixture.lastCall()->isDropped());
+    fixture.lastCall()->end("");
     cr_assert(caller->isFinished_);
-    cr_assert_not(bench.gateway_.poisonPills().quarantinedFor(fingerprint(), bench.clock_.now()));
+    cr_assert_not(
+        fixture.gateway_.poisonPills().quarantinedFor(fingerprint(), fixture.clock_.now()));
 }
 
 Test(quarantined_sessions, answer_that_has_begun_and_breaks_goes_nowhere_else)
 {
-    GatewayFixture bench;
-    bench.addGroup("head-1");
-    bench.addGroup("head-2");
-    const auto caller = bench.ask(path);
-    bench.lastCall()->connect();
-    bench.lastCall()->sealedHead();
-    bench.lastCall()->data(event);
-    quarantine(bench);
-    bench.lastCall()->fail(true);
-    cr_assert_eq(bench.upstream_.calls_.size(), 1);
+    GatewayFixture fixture;
+    fixture.addGroup("head-1");
+    fixture.addGroup("head-2");
+    const auto caller = fixture.ask(path);
+    fixture.lastCall()->connect();
+    fixture.lastCall()->sealedHead();
+    fixture.lastCall()->data(event);
+    quarantine(fixture);
+    fixture.lastCall()->fail(true);
+    cr_assert_eq(fixture.upstream_.calls_.size(), 1);
     cr_assert(caller->isAborted_);
 }
 
 Test(quarantined_sessions, plain_request_that_ends_endpoints_is_quarantined_too)
 {
-    GatewayFixture bench;
+    GatewayFixture fixture;
     std::size_t sends = 0;
     for (int i = 0; i < 8; ++i) {
-        auto again = *bench.book_.find(VmId("p-0"));
+        auto again = *fixture.book_.find(VmId("p-0"));
         again.bornAt_ = static_cast<std::uint64_t>(i + 1);
-        bench.book_.put(again);
-        const auto before = bench.upstream_.calls_.size();
-        (void)bench.ask("/once/7");
-        for (std::size_t call = before; call < bench.upstream_.calls_.size(); ++call) {
+        fixture.book_.put(again);
+        const auto before = fixture.upstream_.calls_.size();
+        (void)fixture.ask("/once/7");
+        for (std::size_t call = before; call < fixture.upstream_.calls_.size(); ++call) {
             ++sends;
-            bench.upstream_.ended_.insert(bench.upstream_.calls_[call]->request_.address_);
-            bench.upstream_.calls_[call]->connect();
-            bench.upstream_.calls_[call]->fail(true);
+            fixture.upstream_.ended_.insert(fixture.upstream_.calls_[call]->request_.address_);
+            fixture.upstream_.calls_[call]->connect();
+            fixture.upstream_.calls_[call]->fail(true);
         }
-        bench.pass(seconds(6));
+        fixture.pass(seconds(6));
     }
     cr_assert_eq(sends, 3);
 }
@@ -135,17 +136,17 @@
 {
     std::set<std::string> chosen;
     for (int entry = 0; entry < 5; ++entry) {
-        GatewayFixture bench;
+        GatewayFixture fixture;
         for (int i = 0; i < 8; ++i)
-            bench.addGroup("head-" + std::to_string(i));
+            fixture.addGroup("head-" + std::to_string(i));
         PoisonNews news;
         news.crashes_[{VmId("gone"), 1}] = {{fingerprint(), false}};
-        bench.gateway_.takePoisonNews(news);
+        fixture.gateway_.takePoisonNews(news);
         // What else is under way differs.
         for (int i = 0; i < entry; ++i)
-            (void)bench.ask("/stream/other-" + std::to_string(i));
-        (void)bench.ask(path);
-        chosen.insert(bench.lastCall()->field("endpoint"));
+            (void)fixture.ask("/stream/other-" + std::to_string(i));
+        (void)fixture.ask(path);
+        chosen.insert(fixture.lastCall()->field("endpoint"));
     }
     cr_assert_eq(chosen.size(), 1);
 }
