--- a/include/cardamombay/serving/crash_detector.hpp
+++ b/include/cardamombay/serving/crash_detector.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// \brief Finds out whether an endpoint has ended, and which requests were under way there.
-/// \details An attempt that breaks may be one lost connection, a spoiled answer or the end of the
-/// endpoint. A connection that is opened right after tells them apart: where nobody listens any
-/// more, the process has ended; an endpoint that is cut off or dark does not answer at all, and
-/// requests are not held against it. Decides nothing about the requests.
+/// \brief Detects crashed endpoints and the requests that were in flight there.
+/// \details A broken attempt may be due to a lost connection, a malformed answer or a crash. A
+/// probe connection opened right afterwards tells them apart: if it is refused, the process has
+/// terminated. An endpoint that is unreachable or partitioned does not answer the probe at all, and
+/// its requests are not reported. Does not evaluate the requests themselves.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -18,45 +18,45 @@
 
 namespace cardamombay::serving {
 
-/// \brief A request that was under way at an endpoint when it ended.
+/// \brief A request that was in flight at an endpoint when it crashed.
 struct RequestAtCrash
 {
     RequestFingerprint fingerprint_;
-    bool hadEvents_ = false; ///< The endpoint had begun to answer it.
+    bool hadEvents_ = false; ///< The endpoint had started to answer it.
 
     friend bool operator==(const RequestAtCrash &, const RequestAtCrash &) = default;
 };
 
-/// \brief The end of an endpoint, as seen from here.
+/// \brief The crash of an endpoint, as observed by this entry VM.
 struct EndpointCrash
 {
     EndpointLife endpoint_;
     std::vector<RequestAtCrash> requests_;
 };
 
-/// \brief Watches attempts that break; belongs to the gateway's thread.
+/// \brief Investigates broken attempts. Not thread-safe; used on the gateway's thread.
 class CrashDetector
 {
 public:
-    /// \param clock, upstream outlive the detector.
+    /// \param clock, upstream must outlive the detector.
     CrashDetector(Clock &clock, net::Upstream &upstream);
     ~CrashDetector();
 
-    /// \brief Called from sweep() for each endpoint that has ended; once more for requests that
-    /// came later.
+    /// \brief Sets the callback that sweep() invokes for each crashed endpoint; invoked again for
+    /// requests whose connections break later.
     void onCrash(std::function<void(const EndpointCrash &)> action)
     {
         crashCallback_ = std::move(action);
     }
 
-    /// \brief An attempt at the endpoint broke before its answer was whole.
+    /// \brief Records an attempt at the endpoint that broke before its answer was complete.
     void onAttemptBroken(const EndpointLife &endpoint, const Address &address,
                          RequestAtCrash request);
 
-    /// \brief The platform's list says that the endpoint has started anew since.
+    /// \brief Records that the platform lists a new instance of the endpoint.
     void endpointRestarted(const EndpointLife &endpoint);
 
-    /// \brief Reports what is known by now. Call every Gateway::sweepPeriod.
+    /// \brief Reports detected crashes. Call every Gateway::sweepPeriod.
     void sweep();
 
 private:
@@ -69,7 +69,7 @@
         bool isRestarted_ = false;
         bool isProbedTwice_ = false;
         std::unique_ptr<Probe> probe_;
-        std::vector<RequestAtCrash> requests_; ///< Not reported yet.
+        std::vector<RequestAtCrash> requests_; ///< Not yet reported.
     };
 
     [[nodiscard]] Verdict evaluate(Investigation &one);
--- a/include/cardamombay/serving/event_scanner.hpp
+++ b/include/cardamombay/serving/event_scanner.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Finds the borders and ids of events in a stream, without changing a byte.
+/// \brief Finds event boundaries and ids in a stream without modifying it.
 #pragma once
 
 #include <cstddef>
@@ -9,15 +9,15 @@
 
 namespace cardamombay::serving {
 
-/// \brief The whole events at the start of a piece of a stream.
+/// \brief The complete events at the start of a chunk of a stream.
 struct CompleteEvents
 {
-    std::size_t size_ = 0; ///< Bytes up to the end of the last whole event.
+    std::size_t size_ = 0; ///< Bytes up to the end of the last complete event.
     std::size_t count_ = 0;
-    std::optional<std::uint64_t> lastId_; ///< Id of the last event that has one.
+    std::optional<std::uint64_t> lastId_; ///< Id of the last complete event that has one.
 };
 
-/// \brief Scans text/event-stream bytes that begin at an event's border.
+/// \brief Scans text/event-stream bytes that start at an event boundary.
 /// \code
 /// const auto whole = wholeEvents("id: 3\ndata: x\n\nid: 4\nda"); // 15 bytes, last id 3
 /// \endcode
--- a/include/cardamombay/serving/failure_blame.hpp
+++ b/include/cardamombay/serving/failure_blame.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// \brief Decides whether an endpoint's own failure speaks against the endpoint or the request.
-/// \details A failing endpoint is avoided for a while. A request that fails wherever it goes would
-/// have all endpoints avoided in turn, and other callers would find none. Belongs to one thread.
+/// \brief Attributes a server error to the endpoint or to the request.
+/// \details A failing endpoint is avoided for a while. If errors caused by the request itself
+/// counted against the endpoints, one request that fails everywhere would make all of them
+/// unavailable to other callers. Not thread-safe.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -12,13 +13,13 @@
 
 namespace cardamombay::serving {
 
-/// \brief Where requests failed lately.
+/// \brief Remembers the endpoints at which recent requests failed.
 class FailureBlame
 {
 public:
-    /// \brief Notes that \p endpoint answered \p request with a failure of its own.
-    /// \returns true if that may be the endpoint's fault; false if the request has failed elsewhere
-    /// too.
+    /// \brief Records that \p endpoint answered \p request with a server error.
+    /// \returns true if the endpoint may be at fault; false if the request has failed at another
+    /// endpoint too.
     [[nodiscard]] bool blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint,
                                       TimePoint now);
 
@@ -26,7 +27,7 @@
     struct Failures
     {
         std::set<VmId> endpoints_;
-        TimePoint firstAt_{}; ///< The first one.
+        TimePoint firstAt_{};
     };
 
     std::unordered_map<RequestFingerprint, Failures> failures_;
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Takes callers' requests and hands each to an endpoint.
-/// \details Decides whether a request may be served by the configuration and the age of what is
-/// known; sessions decide the rest. One thread.
+/// \brief Accepts callers' requests and forwards each of them to an endpoint.
+/// \details Owns the state that all sessions share: routes, retry budget, crash detection and
+/// quarantine. Session handles a single request. Not thread-safe; runs on one thread.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -31,18 +31,18 @@
 
 class Session;
 
-/// \brief Bounds that the operators of the platform agreed on.
+/// \brief Limits agreed with the operators of the platform.
 struct GatewayBounds
 {
-    /// A key may have been taken away since the configuration was last confirmed; requests with a
-    /// key are refused once that is longer ago than this.
+    /// Maximum age of the last confirmed configuration. Beyond it, requests with a key are refused,
+    /// since the key may have been revoked in the meantime.
     Duration longestUnconfirmed_ = std::chrono::seconds(4);
-    double retryShare_ = 0.2; ///< Repeats for each request, over all entry VMs.
+    double retryShare_ = 0.2; ///< Retries per request, over all entry VMs.
     Duration retryWindow_ = std::chrono::seconds(10);
-    double retryReserve_ = 100; ///< Repeats in a window at any rate, over all entry VMs.
+    double retryReserve_ = 100; ///< Retries per window regardless of load, over all entry VMs.
 };
 
-/// \brief What sessions use; all outlive the gateway.
+/// \brief Dependencies of the gateway and its sessions; all must outlive the gateway.
 struct GatewayParts
 {
     Clock &clock_;
@@ -53,7 +53,7 @@
     GatewayMetrics &metrics_;
 };
 
-/// \brief The entry VM's handler of callers' requests.
+/// \brief Handles callers' requests on an entry VM.
 class Gateway final : public net::HttpHandler
 {
 public:
@@ -63,37 +63,37 @@
     void handle(net::ServerRequest request, std::shared_ptr<net::ServerExchange> exchange) override;
     net::HttpResponse refusal(net::ServerFault fault, std::string_view detail) override;
 
-    /// \name What control knows
+    /// \name State from the control plane
     /// \{
     void setRoutes(std::shared_ptr<const RouteTable> routes) { routes_ = std::move(routes); }
     [[nodiscard]] const std::shared_ptr<const RouteTable> &routes() const { return routes_; }
-    /// \brief Requests wait while this process has just started and does not know yet where they
-    /// may go; otherwise they are refused then.
+    /// \brief While true, new requests are queued instead of refused: the process has just started
+    /// and has not received routes and endpoints yet. Setting it to false resumes queued requests.
     void setLearning(bool isLearning);
     [[nodiscard]] bool isLearning() const { return isLearning_; }
-    /// \brief The store confirmed at \p when that the configuration in force is the newest.
+    /// \brief Records that the store confirmed the active configuration as the latest at \p when.
     void confirm(TimePoint when) { confirmedAt_ = std::max(confirmedAt_, when); }
     [[nodiscard]] TimePoint confirmedAt() const { return confirmedAt_; }
-    /// \brief What is known here of the endpoints held all that was committed at \p when.
+    /// \brief Records that the local view of the endpoints includes all commits up to \p when.
     void confirmEndpoints(TimePoint when)
     {
         endpointsConfirmedAt_ = std::max(endpointsConfirmedAt_, when);
     }
     [[nodiscard]] TimePoint endpointsConfirmedAt() const { return endpointsConfirmedAt_; }
-    /// \brief The store has come back from a backup.
+    /// \brief Counts a restore of the store from a backup.
     void countStoreRestore() { parts_.metrics_.storeRestores_.increment(); }
-    /// \brief Duties were dealt anew among the entry VMs.
+    /// \brief Counts a reassignment of duties among the entry VMs.
     void countPeerUpdate() { parts_.metrics_.peerUpdates_.increment(); }
-    /// \brief Availability zones that operators empty now.
+    /// \brief Sets the number of availability zones that are being evacuated.
     void countEvacuated(std::size_t zones)
     {
         parts_.metrics_.evacuatedZones_.set(static_cast<double>(zones));
     }
-    /// \brief Entry VMs that share the fleet's retries, self included.
+    /// \brief Sets the number of entry VMs that share the fleet's retry budget, including this one.
     void setEntryCount(std::size_t count);
-    /// \brief What the other entry VMs counted in the last window, as they told last.
+    /// \brief Sets the counts of the last window as last reported by the other entry VMs.
     void setPeerRetries(std::map<ServiceName, RetryCounts> counts);
-    /// \brief What was counted here, for the others.
+    /// \brief Counts of this entry VM in the last window, to be reported to the others.
     [[nodiscard]] std::map<ServiceName, RetryCounts> retryCounts(TimePoint now);
     void setBounds(const GatewayBounds &bounds);
     /// \}
@@ -101,54 +101,56 @@
     /// \name Shutdown
     /// \{
     void refuseNew() { isRefusing_ = true; }
-    /// \brief Ends all requests: what has not run is refused, the rest is broken off.
+    /// \brief Ends all requests: those that have not run are refused, all others are aborted.
     void terminateAll();
 
-    /// \brief What endpoints have said of themselves.
+    /// \brief Notices that endpoints sent in their answers: limits, cooldowns, shutdown.
     [[nodiscard]] EndpointNotices &notices() { return notices_; }
-    /// \brief Where every send asks whether it may leave.
+    /// \brief Final check before each request is sent to an endpoint.
     [[nodiscard]] EndpointGate &gate() { return gate_; }
-    /// \brief Limits of the rate of requests that endpoints name.
+    /// \brief Request rate limits stated by endpoints.
     [[nodiscard]] EndpointLimits &limits() { return notices_.limits(); }
-    /// \brief Endpoints that have just started.
+    /// \brief Recently started endpoints that accept only a reduced request rate.
     [[nodiscard]] ColdEndpoints &coldEndpoints() { return coldEndpoints_; }
-    /// \brief Reserves sends to the endpoints that take only few requests a second.
+    /// \brief Reserves sends to endpoints with a request rate limit.
     [[nodiscard]] ReservationDesk &reservations() { return reservations_; }
-    /// \brief What is known of requests that end endpoints.
+    /// \brief Evidence and quarantines of requests that crash endpoints.
     [[nodiscard]] PoisonPills &poisonPills() { return poisonPills_; }
-    /// \brief Takes what a peer tells of endpoints that ended, and of requests that end them.
+    /// \brief Applies crashes and quarantines reported by a peer.
     void takePoisonNews(const PoisonNews &news);
-    /// \brief Called when an endpoint has ended under requests from here, so that peers hear of it
-    /// at once.
+    /// \brief Sets the callback for a crash of an endpoint with requests from this entry VM; used
+    /// to notify the peers immediately.
     void onEndpointCrash(std::function<void()> action) { crashCallback_ = std::move(action); }
 
-    /// \brief An endpoint has started again: what it had of requests is lost, and they go on
-    /// elsewhere at once.
-    /// \param endpoint its earlier life.
+    /// \brief Handles the restart of an endpoint: its requests are lost, so their attempts fail
+    /// immediately instead of waiting for a time-out.
+    /// \param endpoint the instance before the restart.
     void endpointRestarted(const EndpointLife &endpoint, const Address &address);
     [[nodiscard]] bool isRefusing() const { return isRefusing_; }
     /// \}
 
-    /// \brief Ends what is due: time-outs and stalled attempts. Call every sweepPeriod.
+    /// \brief Handles time-outs, stalled attempts and held requests. Call every sweepPeriod.
     void sweep();
 
-    /// \brief How often sweep() is due; a quarter of the shortest pause that counts as a stall.
+    /// \brief Interval between calls of sweep(); a quarter of the shortest stall time-out.
     static constexpr Duration sweepPeriod = std::chrono::milliseconds(20);
 
     [[nodiscard]] std::size_t inFlight() const { return sessions_.size(); }
 
-    /// \brief Work that callers have asked for since the last call, in seconds of whole groups.
+    /// \brief Returns the work requested since the last call, in seconds of full group capacity.
     [[nodiscard]] std::map<ModelName, double> takeDemand() { return std::exchange(demand_, {}); }
 
     /// \name For sessions
     /// \{
     [[nodiscard]] GatewayParts &parts() { return parts_; }
     [[nodiscard]] double randomUnit() { return random_.unit(); }
-    /// \brief Takes one repeat from this entry VM's part of the fleet's budget.
+    /// \brief Consumes one retry from the fleet's budget.
+    /// \returns false if neither this entry VM's share nor the fleet has any left.
     [[nodiscard]] bool takeRetry(const ServiceName &service);
-    /// \brief An attempt broke at \p target before its answer was whole.
+    /// \brief Reports that the connection to \p target broke before the answer was complete.
     void onAttemptBroken(const Target &target, RequestAtCrash request);
-    /// \brief True if a failure of the endpoint's own speaks against it.
+    /// \brief Records a server error of \p endpoint.
+    /// \returns false if the request has failed at other endpoints too.
     [[nodiscard]] bool blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint);
     void countRequest(const Service &service, const CallerHead &head);
     [[nodiscard]] Duration unconfirmedFor() const;
@@ -178,7 +180,7 @@
     std::map<ModelName, double> demand_;
     std::unordered_map<ServiceName, RetryWindow> retries_;
     std::map<ServiceName, RetryCounts> peerRetries_;
-    std::map<ServiceName, double> surplusRetries_; ///< Taken since the others' counts came.
+    std::map<ServiceName, double> surplusRetries_; ///< Consumed since the peers' last report.
     FailureBlame failureBlame_;
     CrashDetector crashDetector_;
     PoisonPills poisonPills_;
--- a/include/cardamombay/serving/gateway_metrics.hpp
+++ b/include/cardamombay/serving/gateway_metrics.hpp
@@ -13,34 +13,35 @@
 
     metrics::Counter requests_;
     metrics::Counter served_;
-    metrics::Counter refused_; ///< Not run, and said so.
-    metrics::Counter failed_;  ///< Outcome unknown or broken off.
+    metrics::Counter refused_; ///< Not run; the caller was told so.
+    metrics::Counter failed_;  ///< Outcome unknown, or the answer was aborted.
     metrics::Counter callerLeft_;
     metrics::Counter retries_;
-    metrics::Counter stalls_;          ///< Attempts ended since the endpoint was silent.
-    metrics::Counter endpointCrashes_; ///< Endpoints that ended under requests from here.
-    metrics::Counter quarantined_;     ///< Requests refused since they end endpoints.
-    metrics::Counter peerUpdates_;     ///< Times that duties were dealt anew among entry VMs.
-    metrics::Counter storeRestores_;   ///< Times that the store came back from a backup.
-    metrics::Counter limitedSends_;    ///< To endpoints that limit the rate of requests.
+    metrics::Counter stalls_;          ///< Attempts abandoned because the endpoint sent nothing.
+    metrics::Counter endpointCrashes_; ///< Endpoints that crashed with requests from this entry VM.
+    metrics::Counter quarantined_;     ///< Requests refused because they crash endpoints.
+    metrics::Counter peerUpdates_;     ///< Reassignments of duties among entry VMs.
+    metrics::Counter storeRestores_;   ///< Restores of the store from a backup.
+    metrics::Counter limitedSends_;    ///< Sends to endpoints with a request rate limit.
     metrics::Counter unreadableLimits_;
-    metrics::Counter reservations_; ///< Sends to such endpoints that were asked for.
+    metrics::Counter reservations_; ///< Requested reservations of sends to such endpoints.
     metrics::Counter reservationsRefused_;
-    metrics::Counter reservationsReturned_; ///< Booked and not used.
-    metrics::Counter silentOwners_;         ///< Entry VMs that did not answer for an endpoint.
-    metrics::Counter cooldowns_;            ///< Times that an endpoint wanted nothing for a while.
+    metrics::Counter reservationsReturned_; ///< Granted and not used.
+    metrics::Counter silentOwners_; ///< Entry VMs that did not answer for an endpoint's limit.
+    metrics::Counter cooldowns_;    ///< Cooldowns requested by endpoints.
     metrics::Gauge cooldownsInForce_;
-    metrics::Counter refusalsInCooldown_; ///< Of requests that reached an endpoint all the same.
-    metrics::Counter withheldSends_;      ///< Held back by the last look before a send.
+    metrics::Counter refusalsInCooldown_; ///< Refusals of requests sent during a cooldown.
+    metrics::Counter withheldSends_;      ///< Sends rejected by the final check.
     metrics::Counter unreadableCooldowns_;
-    metrics::Counter coldStarts_; ///< Times that an endpoint was found cold.
+    metrics::Counter coldStarts_; ///< Endpoints detected as cold.
     metrics::Gauge coldEndpoints_;
     metrics::Gauge evacuatedZones_;
-    /// Seconds since the store confirmed what is known of the endpoints, at each send.
+    /// Age of the confirmed endpoint data at each send, in seconds.
     metrics::Histogram endpointsAge_;
-    metrics::Histogram firstByte_; ///< Seconds from the request to the first event or the answer.
-    metrics::Histogram eventGap_;  ///< Seconds between two events.
-    metrics::Histogram answerDuration_; ///< Seconds from the request to the end of its answer.
+    metrics::Histogram
+        firstByte_; ///< Seconds from the request to the first event or complete answer.
+    metrics::Histogram eventGap_;       ///< Seconds between consecutive events.
+    metrics::Histogram answerDuration_; ///< Seconds from the request to the end of the answer.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/gateway_settings.hpp
+++ b/include/cardamombay/serving/gateway_settings.hpp
@@ -1,7 +1,7 @@
 /// \file
 /// \brief Process settings of cardamombay-gateway.
-/// \details Where this process stands and whom it talks to, and the bounds agreed with the
-/// platform. What operators declare for all entry VMs comes from the platform's store.
+/// \details Covers the identity and addresses of this process and the limits agreed with the
+/// platform. The configuration of the fleet is read from the platform's store instead.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -22,29 +22,29 @@
 {
     EntryId entry_;
     AvailabilityZone zone_;
-    Address callers_;           ///< Listener for callers.
-    Address readiness_;         ///< Listener of the balancer's readiness check.
-    Address metrics_;           ///< Listener of the metrics.
-    Address digests_;           ///< Where peers' datagrams arrive.
-    Address store_;             ///< The platform's store.
-    bool isFirstStart_ = false; ///< The whole system starts for the first time.
-    std::map<AvailabilityZone, RegionName> regions_; ///< Of each availability zone.
-    double cores_ = 1;           ///< Share of a core that this VM has, or its cores.
-    double linkMegabits_ = 1000; ///< Of its network link, Mbit/s.
+    Address callers_;           ///< Listen address for callers.
+    Address readiness_;         ///< Listen address of the load balancer's readiness check.
+    Address metrics_;           ///< Listen address of the metrics.
+    Address digests_;           ///< Listen address for peers' datagrams.
+    Address store_;             ///< Address of the platform's store.
+    bool isFirstStart_ = false; ///< True on the very first start of the system.
+    std::map<AvailabilityZone, RegionName> regions_; ///< Region of each availability zone.
+    double cores_ = 1;                               ///< CPU cores of this VM; may be a fraction.
+    double linkMegabits_ = 1000;                     ///< Bandwidth of the network link in Mbit/s.
     std::string chartsFolder_ = "charts";
     std::string logLevel_ = "info";            ///< "debug", "info", "warn" or "error".
-    Duration grace_ = std::chrono::seconds(8); ///< From the request to stop until the kill.
-    /// Time in which a leaving endpoint and a configuration must be known to all entry VMs.
+    Duration grace_ = std::chrono::seconds(8); ///< Time between the stop request and the kill.
+    /// Maximum time until all entry VMs know of a leaving endpoint or a new configuration.
     Duration newsBound_ = std::chrono::seconds(2);
     GatewayBounds bounds_;
 };
 
-/// \brief Reads settings from TOML \p text.
-/// \returns the settings, or InvalidInput for the first problem.
+/// \brief Parses settings from TOML \p text.
+/// \returns the settings, or InvalidInput with the first problem found.
 [[nodiscard]] Result<GatewaySettings> parseGatewaySettings(std::string_view text,
                                                            const std::string &file);
 
-/// \brief Reads settings from a file; a file that cannot be read is InvalidInput too.
+/// \brief Loads settings from a file; returns InvalidInput also if the file cannot be read.
 [[nodiscard]] Result<GatewaySettings> loadGatewaySettings(const std::string &file);
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/poison_pills.hpp
+++ b/include/cardamombay/serving/poison_pills.hpp
@@ -1,11 +1,11 @@
 /// \file
-/// \brief Decides which requests are poison pills: requests that end the endpoints that run them.
-/// \details An endpoint that ends takes all its requests with it, so one end proves nothing about
-/// any of them. A request that was under way at several ends, and was never served in between, is
-/// the cause. It is quarantined: no entry VM sends it any more, so that other callers keep their
-/// endpoints. Entry VMs tell each other what they saw, and each comes to the same verdict by
-/// itself. Does no I/O; guards that nobody is quarantined for what happened at one or two
-/// endpoints.
+/// \brief Detects poison pills: requests that crash the endpoints that run them.
+/// \details A crash interrupts all requests of the endpoint, so a single crash does not identify
+/// its cause. A request that was in flight at several crashes without being served in between is
+/// considered the cause and is quarantined: no entry VM sends it any more, which protects the
+/// endpoints of other callers. Entry VMs exchange their observations, and each reaches the same
+/// verdict independently. Crashes of one or two endpoints never lead to a quarantine. Performs no
+/// I/O.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -19,32 +19,33 @@
 
 namespace cardamombay::serving {
 
-/// \brief A request that is quarantined.
+/// \brief A quarantined request.
 struct PoisonVerdict
 {
     RequestFingerprint request_;
-    Duration left_{}; ///< Until it may be tried again.
+    Duration left_{}; ///< Remaining time until it may be sent again.
 
     friend bool operator==(const PoisonVerdict &, const PoisonVerdict &) = default;
 };
 
-/// \brief What an entry VM tells the others.
+/// \brief Observations that entry VMs exchange.
 struct PoisonNews
 {
-    /// Requests that were under way at endpoints that ended just now.
+    /// Requests that were in flight at endpoints that crashed recently.
     std::map<EndpointLife, std::vector<RequestAtCrash>> crashes_;
-    std::vector<PoisonVerdict> verdicts_; ///< Some of those in force, all of them in turn.
-    /// Requests that were served, or whose quarantine was lifted, just now.
+    std::vector<PoisonVerdict>
+        verdicts_; ///< Part of the active ones; successive messages cycle through all.
+    /// Requests that were recently served or whose quarantine was recently lifted.
     std::vector<RequestFingerprint> cleared_;
 
     [[nodiscard]] bool isEmpty() const;
     friend bool operator==(const PoisonNews &, const PoisonNews &) = default;
 };
 
-/// \brief Adds what \p from tells; a crash that both tell of is one.
+/// \brief Merges \p from into \p into; a crash that both contain is kept once.
 void mergeNews(PoisonNews &into, const PoisonNews &from);
 
-/// \brief Evidence and verdicts of one entry VM; belongs to the gateway's thread.
+/// \brief Evidence and verdicts of one entry VM. Not thread-safe; used on the gateway's thread.
 /// \code
 /// pills.endpointCrashed(crash, now);
 /// if (const auto left = pills.quarantinedFor(fingerprint, now))
@@ -53,43 +54,45 @@
 class PoisonPills
 {
 public:
-    /// \brief How long a first verdict holds; each further one on the same request twice as long.
+    /// \brief Duration of the first quarantine of a request; it doubles with each further one.
     static constexpr Duration firstQuarantine = std::chrono::minutes(10);
 
-    /// \brief Called with each new verdict.
+    /// \brief Sets the callback for new verdicts.
     void onVerdict(std::function<void(const PoisonVerdict &)> action)
     {
         verdictCallback_ = std::move(action);
     }
 
-    /// \name News
+    /// \name Events
     /// \{
-    /// \brief An endpoint ended under requests from here.
+    /// \brief Records the crash of an endpoint with requests from this entry VM.
     void endpointCrashed(const EndpointCrash &crash, TimePoint now);
-    /// \brief A request was answered whole, so it does not end endpoints. What others ask for with
-    /// the same content is under way at many endpoints, and a rack that fails ends several at once.
+    /// \brief Records that a request was answered completely, which clears it of suspicion.
+    /// \details A popular request is in flight at many endpoints, so the failure of a rack, which
+    /// stops several of them at once, would otherwise quarantine it.
     void served(const RequestFingerprint &request, TimePoint now);
-    /// \brief Takes what a peer tells.
+    /// \brief Applies the observations of a peer.
     void take(const PoisonNews &news, TimePoint now);
-    /// \brief Takes a verdict that was kept over a restart.
+    /// \brief Restores a verdict that was persisted across a restart.
     void restore(const RequestFingerprint &request, TimePoint now);
-    /// \brief An operator ends a quarantine.
+    /// \brief Ends a quarantine on behalf of an operator.
     void lift(const RequestFingerprint &request, TimePoint now) { clear(request, now, true); }
-    /// \brief Drops what is old. Call with each digest.
+    /// \brief Removes expired state. Call before each digest is sent.
     void expire(TimePoint now);
     /// \}
 
     /// \name State
     /// \{
-    /// \brief Time until a quarantined request may be tried again; nothing for all others.
+    /// \brief Remaining quarantine of a request; std::nullopt if it is not quarantined.
     [[nodiscard]] std::optional<Duration> quarantinedFor(const RequestFingerprint &request,
                                                          TimePoint now) const;
-    /// \brief True if an endpoint has ended under the request and it was not served since.
+    /// \brief True if an endpoint crashed during the request and it was not served since.
     [[nodiscard]] bool isSuspect(const RequestFingerprint &request) const;
-    /// \brief Requests that are quarantined, with the endpoints that ended under them.
+    /// \brief Quarantined requests, with the endpoints that crashed during them.
     [[nodiscard]] std::map<RequestFingerprint, std::vector<EndpointLife>>
     quarantined(TimePoint now) const;
-    /// \brief News for the peers, told several times since datagrams are lost.
+    /// \brief Observations for the peers; each is repeated in several messages because datagrams
+    /// may be lost.
     [[nodiscard]] PoisonNews news(TimePoint now);
     [[nodiscard]] std::size_t suspects() const { return records_.size(); }
     /// \}
@@ -97,10 +100,10 @@
 private:
     struct Record
     {
-        std::map<EndpointLife, bool> crashes_; ///< True if the endpoint had begun to answer.
-        std::vector<EndpointLife> ignored_;    ///< Ends before the request was served.
+        std::map<EndpointLife, bool> crashes_; ///< True if the endpoint had started to answer.
+        std::vector<EndpointLife> ignored_;    ///< Crashes before the request was served.
         TimePoint lastCrashAt_{};
-        TimePoint quarantinedUntil_{}; ///< End of the quarantine; the epoch if there was none.
+        TimePoint quarantinedUntil_{}; ///< End of the quarantine; the epoch if none.
         TimePoint clearedAt_{};
         std::size_t verdicts_ = 0;
     };
@@ -122,10 +125,11 @@
 
     std::function<void(const PoisonVerdict &)> verdictCallback_;
     std::map<RequestFingerprint, Record> records_;
-    std::unordered_map<RequestFingerprint, TimePoint> servedAt_; ///< Lately, here.
+    std::unordered_map<RequestFingerprint, TimePoint> servedAt_; ///< Recently, by this entry VM.
     std::vector<Announced<EndpointCrash>> ownCrashes_;
     std::vector<Announced<RequestFingerprint>> ownCleared_;
-    std::optional<RequestFingerprint> lastAnnounced_; ///< Verdict, for the turn of the next ones.
+    std::optional<RequestFingerprint>
+        lastAnnounced_; ///< Last verdict sent; the next message continues after it.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/request_fingerprint.hpp
+++ b/include/cardamombay/serving/request_fingerprint.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Tells whether two requests ask for the same, whatever ids their attempts have.
+/// \brief Identifies requests with the same content, independent of their request ids.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -14,7 +14,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief What makes a request the same as another one.
+/// \brief The parts of a request that determine its fingerprint.
 struct RequestContent
 {
     std::string_view method_;
@@ -24,7 +24,7 @@
     std::string_view body_;
 };
 
-/// \brief Hash of a request's content; the same at all entry VMs.
+/// \brief Hash of a request's content; identical on all entry VMs.
 /// \code
 /// const auto fingerprint = fingerprintOf({"POST", "a.example", "/draft/7", team, body});
 /// std::cout << fingerprint.text(); // 0f3c5a2e9d7b1846
@@ -39,9 +39,9 @@
     }
 
     [[nodiscard]] std::uint64_t value() const { return value_; }
-    /// \brief Sixteen hexadecimal digits.
+    /// \brief Returns the value as 16 hexadecimal digits.
     [[nodiscard]] std::string text() const;
-    /// \returns nothing if \p text is no fingerprint.
+    /// \returns std::nullopt if \p text is not a valid fingerprint.
     [[nodiscard]] static std::optional<RequestFingerprint> parse(std::string_view text);
 
     friend auto operator<=>(const RequestFingerprint &, const RequestFingerprint &) = default;
@@ -54,7 +54,7 @@
 
 } // namespace cardamombay::serving
 
-/// \brief Makes fingerprints usable as keys of unordered containers; they are hashes already.
+/// \brief Hash support for unordered containers; the value is already a hash.
 template<>
 struct std::hash<cardamombay::serving::RequestFingerprint>
 {
--- a/include/cardamombay/serving/retry_window.hpp
+++ b/include/cardamombay/serving/retry_window.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Bounds repeated sends over a sliding window.
-/// \details Decides whether one more repeat keeps every window within a share of the requests in it
-/// and a reserve. Single-threaded.
+/// \brief Limits retries over a sliding window.
+/// \details A retry is allowed if the retries of the window stay within a share of its requests
+/// plus a fixed reserve. Not thread-safe.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -12,15 +12,15 @@
 
 namespace cardamombay::serving {
 
-/// \brief Bound of a window.
+/// \brief Retry limit of a window.
 struct RetryBound
 {
-    double share_ = 0;   ///< Repeats allowed for each request of the window.
-    double reserve_ = 0; ///< Repeats allowed in a window at any rate of requests.
+    double share_ = 0;   ///< Retries allowed per request in the window.
+    double reserve_ = 0; ///< Retries allowed per window in addition, regardless of load.
     Duration window_ = std::chrono::seconds(10);
 };
 
-/// \brief What was counted in a window.
+/// \brief Requests and retries counted in a window.
 struct RetryCounts
 {
     double requests_ = 0;
@@ -29,20 +29,20 @@
     friend bool operator==(const RetryCounts &, const RetryCounts &) = default;
 };
 
-/// \brief Requests and repeats of the last window, in slices.
+/// \brief Counts requests and retries of the last window in time slices.
 class RetryWindow
 {
 public:
     void countRequest(const RetryBound &bound, TimePoint now);
 
-    /// \brief What was counted here in the window that ends at \p now.
+    /// \brief Returns the counts of the window that ends at \p now.
     [[nodiscard]] RetryCounts counts(const RetryBound &bound, TimePoint now);
 
-    /// \brief Counts a repeat if it is within \p bound.
-    /// \returns false if it is not; nothing is counted then.
+    /// \brief Counts a retry if it is within \p bound.
+    /// \returns false if the limit is reached; nothing is counted then.
     [[nodiscard]] bool take(const RetryBound &bound, TimePoint now);
 
-    /// \brief Counts a repeat that is beyond \p bound, since others have left theirs.
+    /// \brief Counts a retry beyond \p bound, taken from the unused budget of other entry VMs.
     void takeBeyondBound(const RetryBound &bound, TimePoint now);
 
 private:
@@ -50,7 +50,7 @@
 
     struct Slice
     {
-        std::int64_t number_ = -1; ///< Of the slice of time that the counts are for.
+        std::int64_t number_ = -1; ///< Index of the time slice since the epoch.
         RetryCounts counts_;
     };
 
--- a/include/cardamombay/serving/send_budget.hpp
+++ b/include/cardamombay/serving/send_budget.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// \brief How much an entry VM may send for others without holding up its callers.
+/// \brief Limits the bandwidth that an entry VM uses on behalf of others, so that its own callers
+/// are not delayed.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -9,7 +10,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief Bytes that may be sent now; a token bucket that holds one second's worth.
+/// \brief Token bucket for bytes with a capacity of one second.
 class SendBudget
 {
 public:
@@ -18,8 +19,9 @@
     {
     }
 
-    /// \brief Takes \p bytes.
-    /// \returns false if they are not left; what was not sent is asked for again.
+    /// \brief Consumes \p bytes.
+    /// \returns false if fewer are available; nothing is consumed then, and the data is requested
+    /// again later.
     [[nodiscard]] bool take(std::size_t bytes, TimePoint now)
     {
         left_ = std::min(bytesPerSecond_, left_ + toSeconds(now - takenAt_) * bytesPerSecond_);
