--- a/src/serving/crash_detector.cpp
+++ b/src/serving/crash_detector.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-/// All connections to a process that ends break within 2 ms at one entry VM (measured at 23 ends,
-/// with up to 60 requests each).
+/// Time to collect the requests of one crash. All connections of an entry VM to a crashed process
+/// break within 2 ms (23 crashes with up to 60 requests each).
 constexpr Duration collectPeriod = std::chrono::milliseconds(10);
 
-/// Some answers that had arrived are read later; they still belong to the same end. An engine is
-/// back after some seconds, so a refused connection tells of this life only that long.
+/// Answers that had already arrived are read later but belong to the same crash. An engine restarts
+/// within seconds, so a refused probe is evidence about the same instance only for this long.
 constexpr Duration investigationLifetime = std::chrono::seconds(2);
 
-/// Somebody who listens answers within a millisecond or two; longer than a lost packet takes.
+/// A listening process accepts within 1 to 2 ms; the time-out also covers one retransmission.
 constexpr Duration probeTimeout = std::chrono::milliseconds(500);
 
-/// Requests of one end at one entry VM; bounds memory. Several batches.
+/// Maximum number of requests collected per crash: several batches; bounds memory.
 constexpr std::size_t maxRequests = 128;
 
 } // namespace
 
-/// One connection that sends nothing.
+/// Opens a connection without sending a request.
 class CrashDetector::Probe final : public net::UpstreamListener
 {
 public:
@@ -102,8 +102,8 @@
     }
 }
 
-/// A process that ends may still listen while its connections break, so one that listens is looked
-/// at once more.
+/// A terminating process may still accept connections while the existing ones break, so a
+/// successful probe is repeated once.
 CrashDetector::Verdict CrashDetector::evaluate(Investigation &one)
 {
     if (clock_.now() - one.startedAt_ < collectPeriod)
--- a/src/serving/failure_blame.cpp
+++ b/src/serving/failure_blame.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// Failures of a request are compared for that long: several tries of its caller, each after a
-/// pause.
+/// Period in which failures of a request are compared; covers several attempts of its caller with
+/// pauses in between.
 constexpr Duration comparisonPeriod = std::chrono::seconds(30);
 
-/// Requests that are remembered, about 200 bytes each; those that failed within seconds at usual
-/// rates.
+/// Maximum number of remembered requests, about 200 bytes each; covers the failures of several
+/// seconds at usual rates.
 constexpr std::size_t maxRequests = 1024;
 
-/// Endpoints of one request; two already tell.
+/// Maximum number of endpoints remembered per request; two are sufficient for a decision.
 constexpr std::size_t maxEndpointsPerRequest = 4;
 
 } // namespace
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -15,25 +15,26 @@
 
 namespace {
 
-/// Share of the fleet's budget that is spent at most: entry VMs count their peers a little late.
+/// Share of the fleet's retry budget that is used at most, since peers' counts arrive with a delay.
 constexpr double entryMargin = 0.7;
 
-/// Share of the fleet's budget beyond which an entry VM leaves its own part untouched as well: the
-/// others may have taken it as left over, one after the other.
+/// Share of the fleet's budget beyond which an entry VM stops using its own share as well: peers
+/// may already have used it as surplus, each independently of the others.
 constexpr double fleetMargin = 0.82;
 
-/// Even parts of what the fleet has left that one entry VM may take until it hears of the others
-/// again. Few of them need repeats at the same moment; if all did, the margin above covers the
-/// rest.
+/// Equal shares of the fleet's surplus that one entry VM may use until the next report of its
+/// peers. Few entry VMs need retries at the same time; if all did, the margin above covers the
+/// excess.
 constexpr double maxSurplusShares = 3;
 
-/// Requests that one log line names.
+/// Maximum number of requests listed in one log line.
 constexpr std::size_t maxLoggedRequests = 16;
 
-/// A gap between two sweeps beyond which endpoints are not blamed for the silence.
+/// After a longer gap between two sweeps this process was paused itself, so the endpoints' stall
+/// timers are restarted.
 constexpr Duration maxSweepGap = std::chrono::milliseconds(120);
 
-/// Tokens that the answer will have: the caller's guess, else half of what it allows.
+/// Expected length of the answer: the caller's estimate, or else half of the limit that it set.
 std::size_t expectedAnswerTokens(const CallerHead &head)
 {
     return head.likelyAnswerTokens_ > 0 ? head.likelyAnswerTokens_ : head.mostAnswerTokens_ / 2;
@@ -82,7 +83,7 @@
 
 void Gateway::release(Session &session)
 {
-    // It is released from inside its own functions, so it lives on until the next sweep.
+    // Called from member functions of the session, so it is kept alive until the next sweep.
     if (auto node = sessions_.extract(&session))
         released_.push_back(std::move(node.mapped()));
 }
@@ -97,7 +98,7 @@
     const auto now = parts_.clock_.now();
     const bool wasPaused = now - std::exchange(lastSweepAt_, now) > maxSweepGap;
     for (const auto &session : sessions) {
-        // What came while the process stood still is not read yet.
+        // Data that arrived while the process was paused has not been read yet.
         if (wasPaused)
             session->restartStallTimer(now);
         session->check(now);
@@ -149,7 +150,8 @@
     poisonPills_.take(news, now);
 }
 
-/// Those that wait in an endpoint's queue would end it when they begin.
+/// Copies of the request in an endpoint's queue would crash it once they start, so they are
+/// cancelled.
 void Gateway::requestQuarantined(const PoisonVerdict &verdict)
 {
     const auto all = poisonPills_.quarantined(parts_.clock_.now());
@@ -165,8 +167,8 @@
         session->quarantined(verdict);
 }
 
-/// The most urgent requests go first, then those that wait the longest; where one finds no room,
-/// those behind it don't either, unless they have a send reserved.
+/// Retries by priority, then by arrival. Once a request finds no capacity, later ones of the same
+/// service and model are skipped unless they hold a reservation.
 void Gateway::retryHeld(std::vector<std::shared_ptr<Session>> &sessions)
 {
     std::erase_if(sessions, [](const auto &session) { return !session->isHeld(); });
@@ -215,7 +217,8 @@
     entryCount_ = std::max<std::size_t>(1, count);
 }
 
-/// The entry VMs share the fleet's reserve evenly; each earns its own share of its requests.
+/// The fleet's reserve is divided equally; the share per request applies to each entry VM's own
+/// requests.
 RetryBound Gateway::retryBound() const
 {
     RetryBound bound;
@@ -250,8 +253,8 @@
     return result;
 }
 
-/// Repeats that the fleet may still send within \p margin of its budget, as far as is known;
-/// nothing if the others' counts are not.
+/// Estimated number of retries that the fleet has left within \p margin of its budget; std::nullopt
+/// if the peers' counts are unknown.
 std::optional<double> Gateway::fleetRetriesLeft(const ServiceName &service, double margin,
                                                 TimePoint now)
 {
@@ -264,8 +267,8 @@
     return (requests * bounds_.retryShare_ + bounds_.retryReserve_) * margin - repeats;
 }
 
-/// What the fleet has left is shared by those that need it now: the streams of a lost group are
-/// spread unevenly, and an entry VM's own part is three repeats and one for seven requests.
+/// Entry VMs may use the unused budget of their peers: the streams of a lost group are distributed
+/// unevenly, and the own share of an entry VM is only three retries plus one per seven requests.
 bool Gateway::fleetHasSurplus(const ServiceName &service, TimePoint now)
 {
     const auto left = fleetRetriesLeft(service, entryMargin, now);
--- a/src/serving/gateway_metrics.cpp
+++ b/src/serving/gateway_metrics.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-/// Seconds; around the goals of 0.15 to 0.4 s and the longest time-outs of 8 s.
+/// Bounds in seconds; cover latency goals of 0.15 to 0.4 s and time-outs of up to 8 s.
 const std::vector<double> latencyBuckets{0.01, 0.025, 0.05, 0.1, 0.15, 0.2,
                                          0.3,  0.4,   0.8,  1.6, 4,    8};
 
-/// Seconds; around the two to four seconds after which a leaving endpoint gets nothing new.
+/// Bounds in seconds; cover the 2 to 4 s after which a leaving endpoint gets no new requests.
 const std::vector<double> ageBuckets{0.25, 0.5, 1, 1.25, 1.5, 1.75, 2, 2.5, 3, 4, 8};
 
 } // namespace
--- a/src/serving/gateway_settings.cpp
+++ b/src/serving/gateway_settings.cpp
@@ -23,7 +23,8 @@
 constexpr Range<double> linkRange{0.1, 1'000'000};
 constexpr Range<double> reserveRange{0, 1'000'000};
 
-/// Part of the time in which a taken key may still work that is left for the request's way.
+/// Share of the revocation limit for which a confirmed configuration may be used; the rest is left
+/// for the transit of the request.
 constexpr double revocationUsableShare = 0.8;
 
 void readListen(TableReader &root, GatewaySettings &result)
@@ -34,7 +35,7 @@
         return;
     auto reader = root.child(*table, "listen");
     reader.require("callers", "give the address callers reach, such as \"10.1.0.11:8080\"");
-    reader.require("readiness", "give the address of the balancer's check");
+    reader.require("readiness", "give the address of the load balancer's readiness check");
     reader.require("digests", "give the address that peers reach");
     reader.read("callers", result.callers_);
     reader.read("readiness", result.readiness_);
@@ -89,7 +90,7 @@
     reader.finish();
 }
 
-/// Each key is an availability zone.
+/// Reads [regions], whose keys are availability zones.
 void readRegions(TableReader &root, GatewaySettings &result)
 {
     const auto *table = root.table("regions");
@@ -119,8 +120,8 @@
 {
     GatewaySettings result;
     TableReader root(document, "", file, problems);
-    root.require("entry", "give this entry VM a name that no other one has");
-    root.require("zone", "name the availability zone of this VM");
+    root.require("entry", "set a name that is unique among the entry VMs");
+    root.require("zone", "set the availability zone of this VM");
     std::string entry;
     std::string zone;
     root.read("entry", entry);
--- a/src/serving/poison_news.cpp
+++ b/src/serving/poison_news.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// A quarantine in a message may last so long at most, whatever a faulty peer tells.
+/// Upper bound for quarantines read from messages, as protection against faulty peers.
 constexpr Duration longestQuarantine = std::chrono::hours(48);
 
-/// Requests without an event in the first list, those with some in the second one.
+/// Returns two lists: requests without events, and requests with events.
 json::array requestLists(const std::vector<RequestAtCrash> &requests)
 {
     json::array without;
--- a/src/serving/poison_news.hpp
+++ b/src/serving/poison_news.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief PoisonNews as JSON, in digests and sums.
+/// \brief Converts PoisonNews to and from JSON, as used in digests and summaries.
 #pragma once
 
 #include <cardamombay/serving/poison_pills.hpp>
@@ -10,8 +10,8 @@
 
 [[nodiscard]] boost::json::object poisonObject(const PoisonNews &news);
 
-/// \brief Reads what can be read; the rest is told again with the next digest.
-/// \param value null if the digest has none.
+/// \brief Parses PoisonNews and skips malformed parts; the next digest repeats them.
+/// \param value null if the digest contains no PoisonNews.
 [[nodiscard]] PoisonNews poisonIn(const boost::json::value *value);
 
 } // namespace cardamombay::serving::impl
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -7,52 +7,58 @@
 
 namespace {
 
-/// Weight of an end at which the endpoint had not begun to answer the request: a poison pill ends
-/// an endpoint as it begins to run.
+/// Weight of a crash before the endpoint started to answer the request: a poison pill usually
+/// crashes an endpoint as soon as it runs.
 constexpr std::size_t beforeAnswerWeight = 2;
-/// Weight of an end in the middle of the answer. Long answers are there at many ends without fault;
-/// a caller's request is sent to about four endpoints at most, so it never comes to a verdict by
-/// these alone, while one that comes again and again does.
+/// Weight of a crash during the answer. Long answers are in flight at many crashes that they did
+/// not cause. One request is sent to about four endpoints at most, so such crashes alone never lead
+/// to a verdict, unless the caller repeats the request over and over.
 constexpr std::size_t duringAnswerWeight = 1;
-/// A verdict: three ends at the beginning, or six in the middle. Two are not enough: where a
-/// seventh of the engines crash at once, requests that were moved once meet a second end by chance.
+/// Weight that leads to a verdict: three crashes before the answer, or six during it. Two are not
+/// enough: if a seventh of the engines crash at once, requests that were moved to another engine
+/// are hit by a second crash by chance.
 constexpr std::size_t verdictWeight = 6;
 
-/// Evidence is kept as long as the first verdict that may come of it.
+/// Evidence is kept for as long as the first quarantine lasts.
 constexpr Duration evidenceLifetime = PoisonPills::firstQuarantine;
 
-/// Doublings of the quarantine; ten minutes become a day.
+/// Maximum number of doublings of the quarantine: from ten minutes to about a day.
 constexpr std::size_t maxDoublings = 7;
 
-/// A peer tells how long a quarantine lasts from when it was told; only more than that is a new
-/// one. Otherwise two entry VMs would prolong it by a datagram's way again and again.
+/// Peers report the remaining duration at the time of sending. A report counts as a new quarantine
+/// only if it exceeds the known end by more than this; otherwise two entry VMs would extend each
+/// other's quarantine by the transit time of every datagram.
 constexpr Duration extensionTolerance = std::chrono::seconds(60);
 
-/// Not worth taking over: entry VMs end a quarantine at slightly different times.
+/// Shorter remaining quarantines are not adopted from peers, since entry VMs end a quarantine at
+/// slightly different times.
 constexpr Duration minAdoptedQuarantine = std::chrono::seconds(5);
-/// A peer that was cut off when a request was cleared still tells of its quarantine meanwhile.
+/// Time for which a cleared request cannot be quarantined by a peer: one that was disconnected when
+/// the request was cleared still reports its quarantine.
 constexpr Duration clearanceLifetime = std::chrono::seconds(30);
-/// Ends that are remembered as ignored; those of one trouble, since news of them come within
+/// Maximum number of remembered crashes to ignore; covers one incident, whose reports arrive within
 /// seconds.
 constexpr std::size_t maxIgnored = 32;
 
-/// A request that was served so lately at any entry VM is no poison pill. What is under way at
-/// three endpoints at once, for two seconds each, is served more than once a second by the fleet.
+/// A request that any entry VM served within this time is not a poison pill. A legitimate request
+/// in flight at three endpoints at once, for two seconds each, is served more than once a second by
+/// the fleet.
 constexpr Duration recentlyServedPeriod = std::chrono::seconds(10);
-/// Requests served in that time that are remembered; some 40 bytes each.
+/// Maximum number of remembered served requests, about 40 bytes each.
 constexpr std::size_t maxServed = 8192;
 
-/// Crashes and clearings are told in seven digests, on up to three hops each.
+/// Time for which crashes and clearances are announced: seven digests, each over up to three hops.
 constexpr Duration announcementPeriod = std::chrono::milliseconds(700);
-/// Requests of one end that are told; one batch. A message with all of six ends is 3 KB.
+/// Maximum number of announced requests per crash: one batch. A message with six full crashes takes
+/// 3 KB.
 constexpr std::size_t maxAnnouncedRequests = 24;
-/// Ends that one entry VM tells of at once; more are no work of one request. Bounds its messages
-/// where a whole fabric domain fails.
+/// Maximum number of crashes announced at once. More are not caused by a single request; limits the
+/// message size when a whole fabric domain fails.
 constexpr std::size_t maxAnnouncedCrashes = 24;
-/// Verdicts in one digest, 30 bytes each; all of a hundred are told within three seconds.
+/// Maximum number of verdicts per digest, 30 bytes each; a hundred are announced within 3 s.
 constexpr std::size_t maxAnnouncedVerdicts = 4;
 
-/// Suspects that are remembered; a record takes some 200 bytes, so about 1 MB.
+/// Maximum number of records, about 200 bytes each, 1 MB in total.
 constexpr std::size_t maxRecords = 4096;
 
 std::size_t weightOf(const std::map<EndpointLife, bool> &crashes)
@@ -63,7 +69,7 @@
     return result;
 }
 
-/// Those that had no event first, since they are more likely the cause.
+/// Orders requests without an event first, since they are more likely the cause.
 std::vector<RequestAtCrash> mostLikelyCauses(std::vector<RequestAtCrash> requests)
 {
     std::stable_partition(requests.begin(), requests.end(),
@@ -176,8 +182,8 @@
         announceCleared(request, now);
 }
 
-/// Ends that it was told of count no more; those of later ends do. One that was already under way
-/// when it was quarantined may still be served by the last endpoint that it reached.
+/// Known crashes no longer count; later ones do. A quarantined request may still be served, by an
+/// endpoint at which it was already in flight.
 bool PoisonPills::clear(const RequestFingerprint &request, TimePoint now, bool isLifted)
 {
     const auto found = records_.find(request);
@@ -239,8 +245,8 @@
         quarantine(request, records_[request], firstQuarantine, now);
 }
 
-/// A flood of requests with contents of their own must not take the memory: the suspect that was
-/// seen least lately goes, a verdict never.
+/// Bounds memory against a flood of distinct requests: evicts the least recently seen suspect, and
+/// active verdicts only if there are no suspects.
 void PoisonPills::evictOldestSuspect()
 {
     if (records_.size() < maxRecords)
@@ -253,8 +259,8 @@
     records_.erase(oldest);
 }
 
-/// A quarantine that is over leaves the request one end short of the next verdict, for as long as
-/// it lasted at least.
+/// After a quarantine the request stays one crash short of the next verdict, for at least as long
+/// as the quarantine lasted.
 void PoisonPills::expire(TimePoint now)
 {
     std::erase_if(records_, [now](const auto &one) {
--- a/src/serving/request_fingerprint.cpp
+++ b/src/serving/request_fingerprint.cpp
@@ -30,7 +30,7 @@
     return RequestFingerprint(value);
 }
 
-/// Each part seeds the next, so that no two parts can trade a byte.
+/// Each part seeds the hash of the next, so moving bytes between adjacent parts changes the result.
 RequestFingerprint fingerprintOf(const RequestContent &content)
 {
     std::uint64_t hash = 0;
