--- a/apps/cardamombay-gateway/gateway_daemon.cpp
+++ b/apps/cardamombay-gateway/gateway_daemon.cpp
@@ -13,22 +13,22 @@
 
 namespace {
 
-/// A call of the store takes 4 ms; one that takes this long counts as unanswered.
+/// Store calls usually take 4 ms.
 constexpr Duration storeTimeout = std::chrono::milliseconds(900);
 constexpr Duration orderTimeout = std::chrono::milliseconds(800);
-/// An engine answers a question within a few milliseconds; each one more prolongs a repair.
+/// Engines answer state queries within a few milliseconds; a longer time-out delays repairs.
 constexpr Duration stateTimeout = std::chrono::milliseconds(150);
 
-/// Watches wait on connections of their own beside the other calls.
+/// Watches occupy connections of their own in addition to other calls.
 constexpr std::size_t storeConnections = 8;
 
-/// The balancer leaves an entry VM out after two failed checks, a second apart.
+/// The load balancer excludes an entry VM after two failed checks, one second apart.
 constexpr Duration announcePeriod = std::chrono::milliseconds(2600);
-/// Kept for giving the lease back and for the last answers.
+/// Reserved for releasing the lease and sending the last answers.
 constexpr Duration stopReserve = std::chrono::milliseconds(900);
 
-/// Callers reuse a connection until shortly before the idle time that operators allow is over; what
-/// is on its way then must still find it open.
+/// Callers reuse a connection until shortly before the configured idle time-out; requests that are
+/// in transit at that moment must still find it open.
 constexpr Duration idleMargin = std::chrono::seconds(2);
 
 constexpr Duration leavePollInterval = std::chrono::milliseconds(20);
@@ -52,7 +52,7 @@
     return limits;
 }
 
-/// Start stamp; rises over restarts as far as the time of day does.
+/// Identifies this run of the process; increases across restarts as long as the system clock does.
 Incarnation makeIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -225,7 +225,7 @@
     });
 }
 
-/// Addresses and names hold for the life of the process; the rest is taken over.
+/// Applies the GatewayBounds of the file; all other settings require a restart.
 void GatewayDaemon::reload()
 {
     auto loaded = serving::loadGatewaySettings(file_);
@@ -281,7 +281,7 @@
 {
     signals_.cancel();
     callers_.stopAccepting();
-    // The last answers are on their way out.
+    // Allow the last answers to be sent.
     clock_.schedule(leavePollInterval * 2, [this] { context_.stop(); });
 }
 
--- a/apps/cardamombay-gateway/gateway_daemon.hpp
+++ b/apps/cardamombay-gateway/gateway_daemon.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief The gateway process: wires the library to sockets, signals and the platform.
+/// \brief The gateway process: connects the library to sockets, signals and the platform.
 #pragma once
 
 #include <platform/dialect.hpp>
@@ -25,11 +25,11 @@
 
 namespace cardamombay::gateway {
 
-/// \brief Answers the balancer's readiness check and serves the metrics.
+/// \brief Serves a generated text; used for the load balancer's readiness check and the metrics.
 class StatusHandler final : public net::HttpHandler
 {
 public:
-    /// \param text gives the body; nothing means 503.
+    /// \param text returns the body; std::nullopt is answered with 503.
     explicit StatusHandler(std::function<std::optional<std::string>()> text)
         : text_(std::move(text))
     {
@@ -46,10 +46,10 @@
 class GatewayDaemon final : private traffic::LifecycleActions
 {
 public:
-    /// \param file where the settings came from; read again on SIGHUP.
+    /// \param file the settings file; reloaded on SIGHUP.
     GatewayDaemon(serving::GatewaySettings settings, std::string file);
 
-    /// \brief Runs until it has been stopped.
+    /// \brief Runs until the process is stopped.
     [[nodiscard]] Result<Done> run();
 
 private:
--- a/include/cardamombay/serving/poison_pills.hpp
+++ b/include/cardamombay/serving/poison_pills.hpp
@@ -102,7 +102,7 @@
     {
         std::map<EndpointLife, bool> crashes_; ///< True if the endpoint had started to answer.
         std::vector<EndpointLife> ignored_;    ///< Crashes before the request was served.
-        TimePoint lastCrashAt_{};
+        TimePoint lastEvidenceAt_{};
         TimePoint quarantinedUntil_{}; ///< End of the quarantine; the epoch if none.
         TimePoint clearedAt_{};
         std::size_t verdicts_ = 0;
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -156,7 +156,7 @@
     if (!isNew && !isStronger)
         return;
     place->second = request.hadEvents_;
-    record.lastCrashAt_ = now;
+    record.lastEvidenceAt_ = now;
     if (weightOf(record.crashes_) >= verdictWeight && now >= record.quarantinedUntil_) {
         const auto doublings = std::min(record.verdicts_, maxDoublings);
         quarantine(request.fingerprint_, record, firstQuarantine * (1 << doublings), now);
@@ -167,7 +167,7 @@
                              TimePoint now)
 {
     record.quarantinedUntil_ = now + time;
-    record.lastCrashAt_ = now;
+    record.lastEvidenceAt_ = now;
     ++record.verdicts_;
     if (verdictCallback_)
         verdictCallback_({request, time});
@@ -253,8 +253,8 @@
         return;
     const auto oldest
         = std::min_element(records_.begin(), records_.end(), [](auto &left, auto &right) {
-              return std::pair(left.second.quarantinedUntil_, left.second.lastCrashAt_)
-                     < std::pair(right.second.quarantinedUntil_, right.second.lastCrashAt_);
+              return std::pair(left.second.quarantinedUntil_, left.second.lastEvidenceAt_)
+                     < std::pair(right.second.quarantinedUntil_, right.second.lastEvidenceAt_);
           });
     records_.erase(oldest);
 }
@@ -266,9 +266,9 @@
     std::erase_if(records_, [now](const auto &one) {
         const auto &record = one.second;
         const auto memory
-            = std::max(evidenceLifetime, record.quarantinedUntil_ - record.lastCrashAt_);
+            = std::max(evidenceLifetime, record.quarantinedUntil_ - record.lastEvidenceAt_);
         return now >= record.quarantinedUntil_
-               && now - std::max(record.lastCrashAt_, record.quarantinedUntil_) > memory;
+               && now - std::max(record.lastEvidenceAt_, record.quarantinedUntil_) > memory;
     });
     for (auto &[request, record] : records_) {
         const bool isOver
--- a/src/serving/session.cpp
+++ b/src/serving/session.cpp
@@ -8,28 +8,31 @@
 
 namespace {
 
-/// When a caller that found no room is asked to come back, as a share of its goal; those that come
-/// back later have less time left for their answers.
+/// Retry delay for callers that found no capacity, as a share of the latency goal. A longer delay
+/// leaves less time for the answer.
 constexpr double retryDelayShare = 0.2;
-/// Sends of one request, refused ones included; each counts against the fleet's budget.
+/// Maximum number of sends per request, including refused ones; each retry consumes the fleet's
+/// budget.
 constexpr std::size_t maxSends = 4;
 
-/// An unused connection that is older may have been dropped by the endpoint without notice. What
-/// may not run twice takes a fresh one then: a reset could not be told from a run.
+/// Maximum idle time of a reused connection for requests that must not run twice. The endpoint may
+/// have silently closed an older one, and a reset does not tell whether the request has run.
 constexpr Duration maxIdleUnsafeToRetry = std::chrono::milliseconds(300);
-/// What may run again takes older ones, as long as the endpoint keeps them.
+/// Maximum idle time for requests that are safe to retry; as long as endpoints keep connections
+/// open.
 constexpr Duration maxIdleSafeToRetry = std::chrono::seconds(10);
 
-/// A plain endpoint that has not answered an idempotent request after so many goals is left for
-/// another one: at one goal it is late, and a slow answer often comes soon after.
+/// Number of latency goals after which an idempotent request is moved away from a plain endpoint
+/// that has not answered. One would be too early, since a late answer often arrives soon after the
+/// goal.
 constexpr int plainStallGoals = 2;
 
-/// Share of the time after which the caller of a stream leaves; one that has not begun by then is
-/// tried elsewhere, whatever holds it up, and has the other half for it.
+/// Share of the caller's patience after which a stream without a first event is moved to another
+/// endpoint regardless of the cause; the rest is left for the other endpoint.
 constexpr double firstEventShare = 0.5;
 
-/// Share of the caller's patience for which a request is held for room; the rest is for its first
-/// event.
+/// Share of the caller's patience for which a request waits for capacity; the rest is left for the
+/// first event.
 constexpr double maxHoldShare = 0.65;
 
 constexpr Duration connectTimeout = std::chrono::milliseconds(250);
@@ -50,11 +53,11 @@
 
 Session::~Session() = default;
 
-/// \returns false if no endpoint has room, also for others that ask for the same model.
+/// \returns false if no endpoint has capacity, which applies to other requests of the model too.
 bool Session::dispatch()
 {
     const auto now = gateway_.parts().clock_.now();
-    // A VM that was suspended may learn of a failure before it sees that the time is over.
+    // After the VM was suspended, a failure may be reported before the time-out is noticed.
     if (now >= deadline_) {
         giveUp("time-out");
         return true;
@@ -75,7 +78,7 @@
         isHeld_ = true;
         return true;
     }
-    // What has begun has more to lose, and another endpoint may become free.
+    // A started request loses more by giving up, and another endpoint may become available.
     const bool hasBegun = events_ > 0 || possibleRuns_ > 0;
     if (const auto *later = std::get_if<NoEndpointInTime>(&choice); later != nullptr && !hasBegun) {
         retryAfter_ = later->comeBackIn_;
@@ -122,7 +125,7 @@
     return gateway_.parts().balancer_.choose(demand, now);
 }
 
-/// An attempt after one that may have reached an endpoint draws on the fleet's budget.
+/// An attempt consumes the fleet's budget if an earlier one may have reached an endpoint.
 bool Session::acquireRetry()
 {
     if (!needsRetryBudget_)
@@ -131,8 +134,8 @@
     return !needsRetryBudget_;
 }
 
-/// Leaves the present attempt for another endpoint if one has room now. Otherwise the attempt goes
-/// on: an endpoint that is only slow still answers.
+/// Abandons the current attempt if another endpoint has capacity now. Otherwise the attempt
+/// continues, since a slow endpoint may still answer.
 bool Session::moveToOtherEndpoint(std::string_view why, TimePoint now)
 {
     if (!mayRetry(Failure::Unknown))
@@ -148,7 +151,7 @@
     return true;
 }
 
-/// Forgets a head whose answer will not come; events that the caller has stay counted.
+/// Discards a buffered answer that will not be completed. Events already sent remain counted.
 void Session::discardAnswer()
 {
     if (phase_ != Phase::Buffered)
@@ -157,7 +160,7 @@
     answer_ = {};
 }
 
-/// Some places of a full group are free by then, and the caller may still be on time.
+/// By then some slots of a full group are free, and the caller can still meet its goal.
 Duration Session::retryDelay() const
 {
     if (retryAfter_)
@@ -166,13 +169,14 @@
                              : fromSeconds(toSeconds(route_->goal_) * retryDelayShare);
 }
 
-/// A caller of a stream leaves after that long without an event.
+/// Time without an event after which the caller of a stream is expected to disconnect.
 Duration Session::callerPatience() const
 {
     return std::max({minCallerPatience, 4 * route_->goal_, 8 * route_->pauseGoal_});
 }
 
-/// Groups are mostly back within a second or two. Who is held in vain gets word before it leaves.
+/// Lost groups usually recover within 1 to 2 s. A caller held without success is answered before it
+/// disconnects.
 bool Session::mayHold(TimePoint now) const
 {
     return holdLeft(now) > Duration::zero();
@@ -182,7 +186,7 @@
 {
     const auto allowed
         = toSeconds(std::min(callerPatience(), deadline_ - arrivedAt_)) * maxHoldShare;
-    // What counts for the caller is the pause since the last event that it got.
+    // The caller measures its patience from the last event that it received.
     const auto since = events_ > 0 ? progressAt_ : arrivedAt_;
     return fromSeconds(allowed) - (now - since);
 }
@@ -242,7 +246,8 @@
     gateway_.parts().board_.ended(target_.endpoint_);
 }
 
-/// The choice is as old as the connection took, or as long as the process was suspended meanwhile.
+/// The endpoint was chosen before the connection was established, and the process may have been
+/// suspended since, so its state is checked again.
 bool Session::onConnected()
 {
     const auto now = gateway_.parts().clock_.now();
@@ -291,11 +296,11 @@
         return false;
     if (failure != Failure::Unknown)
         return true;
-    // An endpoint that has sent nothing may have begun all the same.
+    // An endpoint that has sent nothing may still have started to run the request.
     return isSafeToRetry() && possibleRuns_ < route_->mostTries_;
 }
 
-/// The endpoint may have ended with the connection; which requests it had then is worth knowing.
+/// The endpoint may have crashed; the crash detector needs the requests that were in flight there.
 void Session::reportBrokenAttempt()
 {
     gateway_.onAttemptBroken(target_, {fingerprint_, hasProgress_});
@@ -319,8 +324,8 @@
     hasProgress_ = true;
 }
 
-/// A stream that has begun never pauses for long at a healthy endpoint. One that waits may stand in
-/// the endpoint's queue: it is moved early only if others there have stalled.
+/// A healthy endpoint never pauses a started stream for long. A stream without events may be
+/// waiting in the endpoint's queue, so it is moved early only if other requests there have stalled.
 bool Session::isStalled(TimePoint now) const
 {
     const auto silent = now - progressAt_;
@@ -328,8 +333,8 @@
         return phase_ == Phase::Waiting && silent > plainStallGoals * route_->goal_;
     if (target_.patience_ == Duration::zero() || silent <= target_.patience_)
         return false;
-    // A request that the endpoint has put off lets the others pass; a group that stands still
-    // doesn't.
+    // If the endpoint only delays this request, others there make progress; on a stalled group none
+    // do.
     const auto firstEventPatience = fromSeconds(toSeconds(callerPatience()) * firstEventShare);
     const auto heard = now - gateway_.parts().board_.heardAt(target_.endpoint_);
     if (heard <= target_.patience_)
@@ -349,7 +354,7 @@
     }
     if (now >= deadline_) {
         if (isStreamEnded_)
-            return; // Only the caller's reading is missing.
+            return; // The caller only has to read the rest.
         dropAttempt();
         giveUp("time-out");
         return;
--- a/src/serving/session.hpp
+++ b/src/serving/session.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief One request of a caller, from its arrival to its final answer.
-/// \details Decides where the request goes, whether it may go on elsewhere after a failure, and
-/// what the caller is told. Guards that nothing runs twice that must not, that "not run" is only
-/// said where it is so, and that an answer never mixes with another.
+/// \brief Handles one request of a caller from arrival to final answer.
+/// \details Selects the endpoint, decides whether to retry after a failure, and produces the
+/// answer. Guarantees that a non-idempotent request never runs twice, that "not run" is reported
+/// only if no attempt can have run, and that answers of different attempts are never mixed.
 #pragma once
 
 #include <cardamombay/net/server_exchange.hpp>
@@ -21,7 +21,7 @@
 
 class Gateway;
 
-/// \brief Belongs to the gateway's thread; kept alive by the gateway until it has ended.
+/// \brief A request in progress. Runs on the gateway's thread; the gateway owns it until it ends.
 class Session final : public net::UpstreamListener, public std::enable_shared_from_this<Session>
 {
 public:
@@ -31,35 +31,35 @@
 
     void start();
 
-    /// \brief Goes on if it waited for what a process learns at its start.
+    /// \brief Resumes a request that was waiting for the startup of this process.
     void resumeAfterStartup();
 
-    /// \brief Ends the request or the attempt if their time is over.
+    /// \brief Handles time-outs and stalls of the request and its current attempt.
     void check(TimePoint now);
 
-    /// \brief Counts the endpoint's silence from \p now.
+    /// \brief Restarts stall detection of the current attempt at \p now.
     void restartStallTimer(TimePoint now) { progressAt_ = std::max(progressAt_, now); }
 
-    /// \brief Tries again to find an endpoint for a request that is held.
-    /// \returns false if no endpoint has room for this or any request of its model.
+    /// \brief Tries again to dispatch a held request.
+    /// \returns false if no endpoint has capacity for this or any other request of its model.
     bool retryHeld();
     [[nodiscard]] bool isHeld() const { return isHeld_; }
-    /// \brief True if a send is reserved for the request and may leave now.
+    /// \brief True if the request holds a reservation that may be used now.
     [[nodiscard]] bool hasOpenReservation() const;
     [[nodiscard]] TimePoint arrivedAt() const { return arrivedAt_; }
-    /// \brief Rank among requests; 0 is the most urgent.
+    /// \brief Priority; 0 is the highest.
     [[nodiscard]] std::uint32_t priority() const { return priority_; }
     [[nodiscard]] const ModelName &model() const { return head_.model_; }
-    /// \brief The service that it goes to; only of a request that is held.
+    /// \brief The target service. Valid only while the request is held.
     [[nodiscard]] const ServiceName &service() const { return service_->name_; }
 
-    /// \brief Ends the request at once, since the process stops.
+    /// \brief Ends the request immediately because the process is shutting down.
     void terminate();
 
-    /// \brief Leaves \p endpoint, which knows nothing of the request any more.
+    /// \brief Fails the current attempt if it is at \p endpoint, whose restart lost the request.
     void endpointRestarted(const VmId &endpoint);
 
-    /// \brief Ends the request if it is the one that \p verdict is on.
+    /// \brief Ends the request if \p verdict applies to it and no answer has started.
     void quarantined(const PoisonVerdict &verdict);
 
     /// \name Events of the attempt
@@ -72,19 +72,20 @@
     /// \}
 
 private:
-    /// How an attempt ended that gave no answer.
+    /// How an attempt without a usable answer failed.
     enum class Failure {
-        NotSent, ///< No byte left.
-        Refused, ///< The endpoint says that it did not run the request.
+        NotSent, ///< No byte of the request was sent.
+        Refused, ///< The endpoint reports that it did not run the request.
         Unknown, ///< It may have run.
     };
-    /// When a caller is asked to come back to another entry VM; its next try reaches one at once.
+    /// Retry delay for callers that should use another entry VM; short, since their next attempt
+    /// reaches a different one.
     static constexpr Duration otherEntryRetryDelay = std::chrono::milliseconds(60);
-    /// A caller of a stream leaves after that long without an event, or after four times the goal
-    /// or eight times the longest pause on time, whichever is the longest.
+    /// Callers of a stream disconnect after this time without an event, or after four times the
+    /// latency goal or eight times the goal for pauses, whichever is longest.
     static constexpr Duration minCallerPatience = std::chrono::seconds(2);
 
-    /// What the present attempt has done for the caller.
+    /// State of the answer of the current attempt.
     enum class Phase { Waiting, Streaming, Buffered };
 
     /// \name Admission
@@ -149,7 +150,7 @@
     std::shared_ptr<net::ServerExchange> exchange_;
     CallerHead head_;
     TimePoint arrivedAt_;
-    TimePoint deadline_; ///< By then the caller has its final answer.
+    TimePoint deadline_; ///< Time by which the caller gets its final answer.
     std::shared_ptr<const RouteTable> routes_;
     const Route *route_ = nullptr;
     const Service *service_ = nullptr;
@@ -160,31 +161,31 @@
 
     std::unique_ptr<net::UpstreamCall> call_;
     Target target_;
-    Duration viewAge_{};                 ///< Of what was known of the endpoints at the last send.
-    std::optional<EndpointLimit> limit_; ///< Of the endpoint, as known at the last send.
-    std::unique_ptr<Reservation> reservation_; ///< For the next send.
-    bool isReserved_ = false;                  ///< The present attempt had one.
+    Duration viewAge_{};                       ///< Age of the endpoint data used for the last send.
+    std::optional<EndpointLimit> limit_;       ///< Rate limit of the endpoint at the last send.
+    std::unique_ptr<Reservation> reservation_; ///< Reservation for the next send.
+    bool isReserved_ = false;                  ///< The current attempt used a reservation.
     bool isConnected_ = false;
     TimePoint attemptAt_;
     TimePoint progressAt_;
     std::vector<VmId> tried_;
     std::size_t sends_ = 0;
     std::size_t possibleRuns_ = 0;       ///< Attempts that may have run.
-    std::optional<Duration> retryAfter_; ///< Of endpoints that have reached their limits.
-    bool needsRetryBudget_ = false;      ///< The next attempt draws on the fleet's budget.
-    bool awaitsStartup_ = false;         ///< For what this process learns at its start.
-    bool isHeld_ = false;                ///< It waits here for room.
+    std::optional<Duration> retryAfter_; ///< Until endpoints at their limits accept again.
+    bool needsRetryBudget_ = false;      ///< The next attempt consumes the fleet's budget.
+    bool awaitsStartup_ = false;         ///< Waits until this process has started up.
+    bool isHeld_ = false;                ///< Waits for capacity.
     bool wasHeld_ = false;
-    bool hasProgress_ = false; ///< Something came from the present attempt.
+    bool hasProgress_ = false; ///< The current attempt has received data.
 
     Phase phase_ = Phase::Waiting;
-    net::HttpResponse answer_; ///< Head and, for whole answers, body so far.
+    net::HttpResponse answer_; ///< Head and, if buffered, the body so far.
     std::optional<std::uint64_t> lastEventId_;
     std::size_t events_ = 0;
-    Duration firstEventDelay_{}; ///< From arrival to the first event or the whole answer.
-    Duration maxEventGap_{};     ///< Between two events, endpoints that failed included.
-    TimePoint lastEventAt_{};    ///< The last event.
-    std::string pending_;        ///< Whole events that wait for the write under way.
+    Duration firstEventDelay_{}; ///< From arrival to the first event or the complete answer.
+    Duration maxEventGap_{};     ///< Longest gap between events, including failovers.
+    TimePoint lastEventAt_{};    ///< Time of the last event.
+    std::string pending_;        ///< Complete events that wait for the current write.
     std::string writing_;
     bool isWriting_ = false;
     bool isStreamEnded_ = false;
--- a/src/serving/session_admission.cpp
+++ b/src/serving/session_admission.cpp
@@ -1,4 +1,4 @@
-// The first half of Session: whether a request may be served at all, by what is known here.
+// Admission part of Session: decides whether a request may be served.
 #include "serving/session.hpp"
 
 #include "serving/caller_status.hpp"
@@ -14,11 +14,12 @@
 
 namespace {
 
-/// What the control side lacks comes within about a second.
+/// Retry delay while control plane state is missing, which arrives within about a second.
 constexpr Duration controlStateRetryDelay = std::chrono::milliseconds(400);
 
-/// Share of its time that a request waits for what the process learns at its start: a refusal costs
-/// its caller one of few tries, and the rest is enough for the answer and another try elsewhere.
+/// Share of the caller's patience for which a request waits for the startup of the process. A
+/// refusal would use up one of the caller's few attempts; the remaining time suffices for the
+/// answer and another attempt elsewhere.
 constexpr double startupWaitShare = 0.25;
 
 constexpr std::string_view poisonReason = "the request ends the endpoints that run it";
@@ -31,7 +32,8 @@
         if (const auto self = weak.lock())
             self->callerLeft();
     });
-    // A refusal costs its caller one of its few tries; what is missing comes within some 30 ms.
+    // A refusal would use up one of the caller's few attempts; missing state arrives in about 30
+    // ms.
     awaitsStartup_ = gateway_.isLearning() && !gateway_.isRefusing();
     if (!awaitsStartup_)
         begin();
@@ -103,15 +105,15 @@
     return true;
 }
 
-/// True if a request has waited its share for what the process learns.
+/// True if the request has used up its share of waiting for startup.
 bool Session::isStartupWaitOver(TimePoint now) const
 {
     const auto allowed = toSeconds(head_.patience_.value_or(minCallerPatience)) * startupWaitShare;
     return toSeconds(now - arrivedAt_) >= allowed;
 }
 
-/// It has not run here, and will not before the time that its caller is told: a status that forbids
-/// callers to come back would outlast a verdict that an operator lifts.
+/// Answers 503 with a retry delay: the request has not run and will not until then. A status that
+/// forbids retries would stay in effect after an operator has lifted the quarantine.
 bool Session::refuseQuarantined()
 {
     const auto left
@@ -123,7 +125,7 @@
     return true;
 }
 
-/// One that an endpoint is answering has begun without ending it, and goes on there.
+/// A request that is being answered has started without crashing the endpoint, and continues.
 void Session::quarantined(const PoisonVerdict &verdict)
 {
     const bool isAdmitted = !isDone_ && !awaitsStartup_ && service_ != nullptr;
@@ -138,7 +140,8 @@
         (void)refuseQuarantined();
 }
 
-/// Why no group could serve the request any more, whatever becomes free; absent if one may.
+/// Reason why no group can serve the request even if capacity becomes free; std::nullopt if one
+/// can.
 std::optional<std::string_view> Session::unservableReason(TimePoint now) const
 {
     return whyNotServable(*service_, {head_.model_, head_.promptTokens_, timeLeft(now)});
--- a/src/serving/session_answer.cpp
+++ b/src/serving/session_answer.cpp
@@ -1,4 +1,4 @@
-// The answering half of Session: from an endpoint's head to the last byte for the caller.
+// Answer part of Session: from the head of the endpoint's answer to the last byte for the caller.
 #include "serving/session.hpp"
 
 #include <cardamombay/serving/event_scanner.hpp>
@@ -12,10 +12,10 @@
 
 constexpr std::uint32_t minServerError = 500;
 
-/// Events held for a caller that reads slowly, bytes; then the endpoint waits.
+/// Bytes buffered for a slow caller; beyond that, reading from the endpoint pauses.
 constexpr std::size_t maxPendingBytes = std::size_t{256} * 1024;
 
-/// The endpoint may hold another member of its group responsible.
+/// Describes a refusal; the endpoint may blame another member of its group for it.
 std::string refusalText(std::uint32_t status, const VmId &failedMember)
 {
     const auto text = "status " + std::to_string(status);
@@ -57,7 +57,7 @@
     answer_.body_.clear();
 }
 
-/// An endpoint that names a cooldown has not run the request and is as good as any after it.
+/// An endpoint that states a cooldown has not run the request and may be chosen again after it.
 void Session::recordRefusal(bool isWrongPlace, TimePoint now)
 {
     gateway_.parts().board_.failed(target_.endpoint_, now);
@@ -65,8 +65,8 @@
         tried_.pop_back();
 }
 
-/// A failure of the endpoint's own counts as run, and against the endpoint unless the request has
-/// failed elsewhere too.
+/// A server error counts as a run. It counts against the endpoint unless the request has failed at
+/// other endpoints too.
 void Session::recordAnswerStatus(std::uint32_t status, TimePoint now)
 {
     auto &board = gateway_.parts().board_;
@@ -84,7 +84,7 @@
 void Session::takeStreamHead(const net::HttpResponse &head)
 {
     if (events_ > 0)
-        return; // Resumed: the caller has the first endpoint's head.
+        return; // Resumed stream: the caller already has the first endpoint's head.
     answer_ = head;
     phase_ = Phase::Streaming;
 }
@@ -157,7 +157,7 @@
     });
 }
 
-/// The head leaves with the first event, or with the end of a stream that has none.
+/// Sends the head with the first event, or at the end of a stream without events.
 void Session::sendStreamHead()
 {
     if (answer_.status_ == 0)
--- a/src/serving/session_limits.cpp
+++ b/src/serving/session_limits.cpp
@@ -1,11 +1,11 @@
-// What a request has to do with the limits of endpoints: reserved sends, and the words of answers.
+// Rate limit part of Session: reservations, and notices in the answers of endpoints.
 #include "serving/session.hpp"
 
 #include <cardamombay/serving/gateway.hpp>
 
 namespace cardamombay::serving {
 
-/// \returns true if the answer is known already, and another choice may find a target.
+/// \returns true if the result is already known, so that choosing again may find a target.
 bool Session::reserve(const NeedsReservation &needed, TimePoint now)
 {
     reservation_ = gateway_.reservations().reserve(needed.endpoint_, holdLeft(now),
@@ -32,15 +32,16 @@
         (void)retryHeld();
 }
 
-/// A send to an endpoint that wants nothing now is of use to another entry VM.
+/// Releases a reservation at an endpoint that currently accepts no requests, for use by other entry
+/// VMs.
 void Session::dropUnusableReservation(TimePoint now)
 {
     if (reservation_ && gateway_.gate().bar(reservation_->endpoint(), now))
         reservation_.reset();
 }
 
-/// Another endpoint that has the address says nothing of this one, and a refusal need not name a
-/// limit that holds on.
+/// Ignores notices of a different endpoint that reuses the address. Refusals are marked as such,
+/// since a refusal need not state a limit that is still in force.
 void Session::recordNotices(const AnswerHead &answer, TimePoint now)
 {
     if (!answer.isWrongPlace_)
