--- a/include/cardamombay/serving/event_scanner.hpp
+++ b/include/cardamombay/serving/event_scanner.hpp
@@ -19,7 +19,7 @@
 
 /// \brief Scans text/event-stream bytes that start at an event boundary.
 /// \code
-/// const auto whole = wholeEvents("id: 3\ndata: x\n\nid: 4\nda"); // 15 bytes, last id 3
+/// const auto whole = scanCompleteEvents("id: 3\ndata: x\n\nid: 4\nda"); // 15 bytes, last id 3
 /// \endcode
 [[nodiscard]] CompleteEvents scanCompleteEvents(std::string_view text);
 
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -263,8 +263,8 @@
         return std::nullopt;
     const auto own = retries_[service].counts(retryBound(), now);
     const auto requests = own.requests_ + others->second.requests_;
-    const auto repeats = own.retries_ + others->second.retries_;
-    return (requests * bounds_.retryShare_ + bounds_.retryReserve_) * margin - repeats;
+    const auto retries = own.retries_ + others->second.retries_;
+    return (requests * bounds_.retryShare_ + bounds_.retryReserve_) * margin - retries;
 }
 
 /// Entry VMs may use the unused budget of their peers: the streams of a lost group are distributed
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -130,12 +130,12 @@
     return found != servedAt_.end() && now - found->second <= recentlyServedPeriod;
 }
 
-/// Tells the others that the request was served here, once in a while.
+/// Announces to the peers that the request was served here; at most once per announcement period.
 void PoisonPills::announceCleared(const RequestFingerprint &request, TimePoint now)
 {
-    const bool isTold = std::any_of(ownCleared_.begin(), ownCleared_.end(),
-                                    [&](const auto &one) { return one.value_ == request; });
-    if (!isTold)
+    const bool isAnnounced = std::any_of(ownCleared_.begin(), ownCleared_.end(),
+                                         [&](const auto &one) { return one.value_ == request; });
+    if (!isAnnounced)
         ownCleared_.push_back({request, now});
 }
 
--- a/tests/crashing_requests/callers.cpp
+++ b/tests/crashing_requests/callers.cpp
@@ -16,8 +16,8 @@
 Outcome simulateAll(const Load &load, std::uint64_t seeds, const char *name)
 {
     Outcome sum;
-    std::size_t mostLate = 0;
-    std::size_t mostEnded = 0;
+    std::size_t maxLate = 0;
+    std::size_t maxCrashed = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const auto one = simulate(load, seed);
         sum.asked_ += one.asked_;
@@ -27,15 +27,15 @@
         sum.poisonSends_ += one.poisonSends_;
         sum.ended_ += one.ended_;
         sum.poisonLate_ = std::max(sum.poisonLate_, one.poisonLate_);
-        mostLate = std::max(mostLate, one.poisonLate_);
-        mostEnded = std::max(mostEnded, one.ended_);
+        maxLate = std::max(maxLate, one.poisonLate_);
+        maxCrashed = std::max(maxCrashed, one.ended_);
     }
     std::printf("%s: %zu requests, %.3f on time, %.3f served, %zu others quarantined; poison pill: "
                 "%zu sends, %zu crashes (at most %zu per run), at most %zu late sends per run\n",
                 name, sum.asked_,
                 static_cast<double>(sum.onTime_) / static_cast<double>(sum.asked_),
                 static_cast<double>(sum.served_) / static_cast<double>(sum.asked_),
-                sum.quarantined_, sum.poisonSends_, sum.ended_, mostEnded, mostLate);
+                sum.quarantined_, sum.poisonSends_, sum.ended_, maxCrashed, maxLate);
     return sum;
 }
 
--- a/tests/serving/poison_pills.cpp
+++ b/tests/serving/poison_pills.cpp
@@ -152,14 +152,14 @@
     PoisonPills pills;
     for (std::uint64_t request = 1; request <= 11; ++request)
         pills.restore(RequestFingerprint(request), start);
-    std::set<RequestFingerprint> told;
+    std::set<RequestFingerprint> announced;
     for (int i = 0; i < 3; ++i) {
         const auto news = pills.news(start);
         cr_assert_leq(news.verdicts_.size(), 4);
         for (const auto &verdict : news.verdicts_)
-            told.insert(verdict.request_);
+            announced.insert(verdict.request_);
     }
-    cr_assert_eq(told.size(), 11);
+    cr_assert_eq(announced.size(), 11);
 }
 
 Test(poison_pills, crash_after_a_quarantine_leads_to_one_twice_as_long)
--- a/tests/serving/sessions.cpp
+++ b/tests/serving/sessions.cpp
@@ -162,14 +162,14 @@
     cr_assert_eq(fixture.ask("/nowhere/")->status(), 503);
 }
 
-Test(sessions, repeats_stay_within_the_budget_of_the_fleet)
+Test(sessions, retries_stay_within_the_budget_of_the_fleet)
 {
     GatewayFixture fixture;
     GatewayBounds bounds;
     bounds.retryShare_ = 0;
     bounds.retryReserve_ = 20;
     fixture.gateway_.setBounds(bounds);
-    std::size_t repeats = 0;
+    std::size_t retries = 0;
     for (int i = 0; i < 100; ++i) {
         const auto before = fixture.upstream_.calls_.size();
         const auto caller = fixture.ask("/again/7");
@@ -180,7 +180,7 @@
         const auto call = fixture.lastCall();
         call->connect();
         call->head(500, {{"seal", "s"}});
-        repeats += fixture.upstream_.calls_.size() - before - 1;
+        retries += fixture.upstream_.calls_.size() - before - 1;
         if (!caller->answer_) {
             fixture.lastCall()->connect();
             fixture.lastCall()->sealedHead();
@@ -188,54 +188,54 @@
         }
         fixture.pass(milliseconds(100));
     }
-    cr_assert_gt(repeats, 0);
-    cr_assert_leq(repeats, 20);
+    cr_assert_gt(retries, 0);
+    cr_assert_leq(retries, 20);
 }
 
 /// Entry VMs may use the surplus of their peers. When a peer needs its own share later, the budget
 /// of the fleet may already be used up.
-Test(sessions, own_part_of_the_repeats_is_left_once_the_fleet_has_used_its_budget)
+Test(sessions, own_share_of_retries_is_unused_once_the_fleet_has_used_its_budget)
 {
-    const auto repeatsOf = [](double othersRepeats) {
+    const auto retriesWith = [](double peerRetries) {
         GatewayFixture fixture;
         GatewayBounds bounds;
         bounds.retryShare_ = 0;
         bounds.retryReserve_ = 100;
         fixture.gateway_.setBounds(bounds);
         fixture.gateway_.setEntryCount(5);
-        fixture.gateway_.setPeerRetries({{ServiceName("plain"), {0, othersRepeats}}});
+        fixture.gateway_.setPeerRetries({{ServiceName("plain"), {0, peerRetries}}});
         fixture.ask("/again/7");
         const auto before = fixture.upstream_.calls_.size();
         fixture.lastCall()->connect();
         fixture.lastCall()->head(500, {{"seal", "s"}});
         return fixture.upstream_.calls_.size() - before;
     };
-    cr_assert_eq(repeatsOf(75), 1);
-    cr_assert_eq(repeatsOf(85), 0);
+    cr_assert_eq(retriesWith(75), 1);
+    cr_assert_eq(retriesWith(85), 0);
 }
 
-Test(sessions, repeats_that_the_other_entry_vms_leave_are_taken)
+Test(sessions, retries_left_by_other_entry_vms_are_used)
 {
-    const auto repeatsOf = [](double othersRepeats) {
+    const auto retriesWith = [](double peerRetries) {
         GatewayFixture fixture;
         GatewayBounds bounds;
         bounds.retryShare_ = 0.2;
         bounds.retryReserve_ = 0;
         fixture.gateway_.setBounds(bounds);
         fixture.gateway_.setEntryCount(5);
-        fixture.gateway_.setPeerRetries({{ServiceName("plain"), {1000, othersRepeats}}});
-        std::size_t repeats = 0;
+        fixture.gateway_.setPeerRetries({{ServiceName("plain"), {1000, peerRetries}}});
+        std::size_t retries = 0;
         for (int i = 0; i < 4; ++i) {
             fixture.ask("/again/7");
             const auto before = fixture.upstream_.calls_.size();
             fixture.lastCall()->connect();
             fixture.lastCall()->head(500, {{"seal", "s"}});
-            repeats += fixture.upstream_.calls_.size() - before;
+            retries += fixture.upstream_.calls_.size() - before;
         }
-        return repeats;
+        return retries;
     };
-    cr_assert_eq(repeatsOf(0), 4);
-    cr_assert_eq(repeatsOf(140), 0); // The usable budget of 0.7 x 0.2 x 1,000 is used up.
+    cr_assert_eq(retriesWith(0), 4);
+    cr_assert_eq(retriesWith(140), 0); // The usable budget of 0.7 x 0.2 x 1,000 is used up.
 }
 
 Test(sessions, request_waits_for_what_a_process_learns_at_its_start)
