--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -7,69 +7,75 @@
 
 namespace {
 
-/// Weight of an end at which the endpoint had not begun to answer the request: a poison pill ends
-/// an endpoint as it begins to run.
-constexpr std::size_t beginningWeight = 2;
-/// Weight of an end in the middle of the answer. Long answers are there at many ends without fault;
-/// a caller's request is sent to about four endpoints at most, so it never comes to a verdict by
-/// these alone, while one that comes again and again does.
-constexpr std::size_t answeringWeight = 1;
-/// A verdict: three ends at the beginning, or six in the middle. Two are not enough: where a
-/// seventh of the engines crash at once, requests that were moved once meet a second end by chance.
+/// Weight of a crash before the endpoint started to answer the request: a poison pill usually
+/// crashes an endpoint as soon as it runs.
+constexpr std::size_t beforeAnswerWeight = 2;
+/// Weight of a crash during the answer. Long answers are in flight at many crashes that they did
+/// not cause. One request is sent to about four endpoints at most, so such crashes alone never lead
+/// to a verdict, unless the caller repeats the request over and over.
+constexpr std::size_t duringAnswerWeight = 1;
+/// Weight that leads to a verdict: three crashes before the answer, or six during it. Two are not
+/// enough: if a seventh of the engines crash at once, requests that were moved to another engine
+/// are hit by a second crash by chance.
 constexpr std::size_t verdictWeight = 6;
 
-/// Evidence is kept as long as the first verdict that may come of it.
+/// Evidence is kept for as long as the first quarantine lasts.
 constexpr Duration evidenceLifetime = PoisonPills::firstQuarantine;
 
-/// Doublings of the quarantine; ten minutes become a day.
-constexpr std::size_t mostDoublings = 7;
-
-/// A peer tells how long a quarantine lasts from when it was told; only more than that is a new
-/// one. Otherwise two entry VMs would prolong it by a datagram's way again and again.
-constexpr Duration retoldWithin = std::chrono::seconds(60);
-
-/// Not worth taking over: entry VMs end a quarantine at slightly different times.
-constexpr Duration leastLeft = std::chrono::seconds(5);
-/// A peer that was cut off when a request was cleared still tells of its quarantine meanwhile.
-constexpr Duration clearedFor = std::chrono::seconds(30);
-/// Ends that are remembered as ignored; those of one trouble, since news of them come within
+/// Maximum number of doublings of the quarantine: from ten minutes to about a day.
+constexpr std::size_t maxDoublings = 7;
+
+/// Peers report the remaining duration at the time of sending. A report counts as a new quarantine
+/// only if it exceeds the known end by more than this; otherwise two entry VMs would extend each
+/// other's quarantine by the transit time of every datagram.
+constexpr Duration extensionTolerance = std::chrono::seconds(60);
+
+/// Shorter remaining quarantines are not adopted from peers, since entry VMs end a quarantine at
+/// slightly different times.
+constexpr Duration minAdoptedQuarantine = std::chrono::seconds(5);
+/// Time for which a cleared request cannot be quarantined by a peer: one that was disconnected when
+/// the request was cleared still reports its quarantine.
+constexpr Duration clearanceLifetime = std::chrono::seconds(30);
+/// Maximum number of remembered crashes to ignore; covers one incident, whose reports arrive within
 /// seconds.
-constexpr std::size_t mostIgnored = 32;
-
-/// A request that was served so lately at any entry VM is no poison pill. What is under way at
-/// three endpoints at once, for two seconds each, is served more than once a second by the fleet.
-constexpr Duration servedLately = std::chrono::seconds(10);
-/// Requests served in that time that are remembered; some 40 bytes each.
-constexpr std::size_t mostServed = 8192;
-
-/// Crashes and clearings are told in seven digests, on up to three hops each.
-constexpr Duration toldFor = std::chrono::milliseconds(700);
-/// Requests of one end that are told; one batch. A message with all of six ends is 3 KB.
-constexpr std::size_t mostRequests = 24;
-/// Ends that one entry VM tells of at once; more are no work of one request. Bounds its messages
-/// where a whole fabric domain fails.
-constexpr std::size_t mostToldCrashes = 24;
-/// Verdicts in one digest, 30 bytes each; all of a hundred are told within three seconds.
-constexpr std::size_t mostVerdicts = 4;
-
-/// Suspects that are remembered; a record takes some 200 bytes, so about 1 MB.
-constexpr std::size_t mostRecords = 4096;
+constexpr std::size_t maxIgnored = 32;
+
+/// A request that any entry VM served within this time is not a poison pill. A legitimate request
+/// in flight at three endpoints at once, for two seconds each, is served more than once a second by
+/// the fleet.
+constexpr Duration recentlyServedPeriod = std::chrono::seconds(10);
+/// Maximum number of remembered served requests, about 40 bytes each.
+constexpr std::size_t maxServed = 8192;
+
+/// Time for which crashes and clearances are announced: seven digests, each over up to three hops.
+constexpr Duration announcementPeriod = std::chrono::milliseconds(700);
+/// Maximum number of announced requests per crash: one batch. A message with six full crashes takes
+/// 3 KB.
+constexpr std::size_t maxAnnouncedRequests = 24;
+/// Maximum number of crashes announced at once. More are not caused by a single request; limits the
+/// message size when a whole fabric domain fails.
+constexpr std::size_t maxAnnouncedCrashes = 24;
+/// Maximum number of verdicts per digest, 30 bytes each; a hundred are announced within 3 s.
+constexpr std::size_t maxAnnouncedVerdicts = 4;
+
+/// Maximum number of records, about 200 bytes each, 1 MB in total.
+constexpr std::size_t maxRecords = 4096;
 
 std::size_t weightOf(const std::map<EndpointLife, bool> &crashes)
 {
     std::size_t result = 0;
     for (const auto &[endpoint, hadEvents] : crashes)
-        result += hadEvents ? answeringWeight : beginningWeight;
+        result += hadEvents ? duringAnswerWeight : beforeAnswerWeight;
     return result;
 }
 
-/// Those that had no event first, since they are more likely the cause.
-std::vector<RequestAtCrash> likeliest(std::vector<RequestAtCrash> requests)
+/// Orders requests without an event first, since they are more likely the cause.
+std::vector<RequestAtCrash> mostLikelyCauses(std::vector<RequestAtCrash> requests)
 {
     std::stable_partition(requests.begin(), requests.end(),
                           [](const RequestAtCrash &one) { return !one.hadEvents_; });
-    if (requests.size() > mostRequests)
-        requests.resize(mostRequests);
+    if (requests.size() > maxAnnouncedRequests)
+        requests.resize(maxAnnouncedRequests);
     return requests;
 }
 
@@ -110,37 +116,38 @@
 
 void PoisonPills::endpointCrashed(const EndpointCrash &crash, TimePoint now)
 {
-    const EndpointCrash told{crash.endpoint_, likeliest(crash.requests_)};
-    ownCrashes_.push_back({told, now});
-    if (ownCrashes_.size() > mostToldCrashes)
+    const EndpointCrash announced{crash.endpoint_, mostLikelyCauses(crash.requests_)};
+    ownCrashes_.push_back({announced, now});
+    if (ownCrashes_.size() > maxAnnouncedCrashes)
         ownCrashes_.erase(ownCrashes_.begin());
-    for (const auto &request : told.requests_)
-        note(told.endpoint_, request, now);
+    for (const auto &request : announced.requests_)
+        recordCrash(announced.endpoint_, request, now);
 }
 
-bool PoisonPills::wasServedLately(const RequestFingerprint &request, TimePoint now) const
+bool PoisonPills::wasRecentlyServed(const RequestFingerprint &request, TimePoint now) const
 {
     const auto found = servedAt_.find(request);
-    return found != servedAt_.end() && now - found->second <= servedLately;
+    return found != servedAt_.end() && now - found->second <= recentlyServedPeriod;
 }
 
-/// Tells the others that the request was served here, once in a while.
-void PoisonPills::tellCleared(const RequestFingerprint &request, TimePoint now)
+/// Announces to the peers that the request was served here; at most once per announcement period.
+void PoisonPills::announceCleared(const RequestFingerprint &request, TimePoint now)
 {
-    const bool isTold = std::any_of(ownCleared_.begin(), ownCleared_.end(),
-                                    [&](const auto &one) { return one.value_ == request; });
-    if (!isTold)
+    const bool isAnnounced = std::any_of(ownCleared_.begin(), ownCleared_.end(),
+                                         [&](const auto &one) { return one.value_ == request; });
+    if (!isAnnounced)
         ownCleared_.push_back({request, now});
 }
 
-void PoisonPills::note(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now)
+void PoisonPills::recordCrash(const EndpointLife &endpoint, const RequestAtCrash &request,
+                              TimePoint now)
 {
-    if (wasServedLately(request.fingerprint_, now)) {
-        tellCleared(request.fingerprint_, now);
+    if (wasRecentlyServed(request.fingerprint_, now)) {
+        announceCleared(request.fingerprint_, now);
         return;
     }
     if (!records_.contains(request.fingerprint_))
-        makeRoom();
+        evictOldestSuspect();
     auto &record = records_[request.fingerprint_];
     if (contains(record.ignored_, endpoint))
         return;
@@ -149,9 +156,9 @@
     if (!isNew && !isStronger)
         return;
     place->second = request.hadEvents_;
-    record.seenAt_ = now;
-    if (weightOf(record.crashes_) >= verdictWeight && now >= record.until_) {
-        const auto doublings = std::min(record.verdicts_, mostDoublings);
+    record.lastEvidenceAt_ = now;
+    if (weightOf(record.crashes_) >= verdictWeight && now >= record.quarantinedUntil_) {
+        const auto doublings = std::min(record.verdicts_, maxDoublings);
         quarantine(request.fingerprint_, record, firstQuarantine * (1 << doublings), now);
     }
 }
@@ -159,38 +166,39 @@
 void PoisonPills::quarantine(const RequestFingerprint &request, Record &record, Duration time,
                              TimePoint now)
 {
-    record.until_ = now + time;
-    record.seenAt_ = now;
+    record.quarantinedUntil_ = now + time;
+    record.lastEvidenceAt_ = now;
     ++record.verdicts_;
-    if (quarantined_)
-        quarantined_({request, time});
+    if (verdictCallback_)
+        verdictCallback_({request, time});
 }
 
 void PoisonPills::served(const RequestFingerprint &request, TimePoint now)
 {
-    if (servedAt_.size() >= mostServed)
+    if (servedAt_.size() >= maxServed)
         servedAt_.clear();
     servedAt_.insert_or_assign(request, now);
     if (clear(request, now, false))
-        tellCleared(request, now);
+        announceCleared(request, now);
 }
 
-/// Ends that it was told of count no more; those of later ends do. One that was already under way
-/// when it was quarantined may still be served by the last endpoint that it reached.
+/// Known crashes no longer count; later ones do. A quarantined request may still be served, by an
+/// endpoint at which it was already in flight.
 bool PoisonPills::clear(const RequestFingerprint &request, TimePoint now, bool isLifted)
 {
     const auto found = records_.find(request);
-    const bool isKnown = found != records_.end()
-                         && (!found->second.crashes_.empty() || now < found->second.until_);
+    const bool isKnown
+        = found != records_.end()
+          && (!found->second.crashes_.empty() || now < found->second.quarantinedUntil_);
     if (!isKnown)
         return false;
     auto &record = found->second;
     for (const auto &[endpoint, hadEvents] : record.crashes_)
         record.ignored_.push_back(endpoint);
-    if (record.ignored_.size() > mostIgnored)
-        record.ignored_.erase(record.ignored_.begin(), record.ignored_.end() - mostIgnored);
+    if (record.ignored_.size() > maxIgnored)
+        record.ignored_.erase(record.ignored_.begin(), record.ignored_.end() - maxIgnored);
     record.crashes_.clear();
-    record.until_ = {};
+    record.quarantinedUntil_ = {};
     record.verdicts_ = 0;
     record.clearedAt_ = now;
     if (isLifted)
@@ -202,30 +210,31 @@
 {
     for (const auto &[endpoint, requests] : news.crashes_) {
         for (const auto &request : requests)
-            note(endpoint, request, now);
+            recordCrash(endpoint, request, now);
     }
     for (const auto &verdict : news.verdicts_)
-        takeVerdict(verdict, now);
+        applyVerdict(verdict, now);
     for (const auto &request : news.cleared_)
         (void)clear(request, now, false);
 }
 
-void PoisonPills::takeVerdict(const PoisonVerdict &verdict, TimePoint now)
+void PoisonPills::applyVerdict(const PoisonVerdict &verdict, TimePoint now)
 {
-    if (wasServedLately(verdict.request_, now)) {
-        tellCleared(verdict.request_, now);
+    if (wasRecentlyServed(verdict.request_, now)) {
+        announceCleared(verdict.request_, now);
         return;
     }
     if (const auto known = quarantinedFor(verdict.request_, now)) {
-        if (verdict.left_ <= *known + retoldWithin)
+        if (verdict.left_ <= *known + extensionTolerance)
             return;
-    } else if (verdict.left_ < leastLeft) {
+    } else if (verdict.left_ < minAdoptedQuarantine) {
         return;
     }
     if (!records_.contains(verdict.request_))
-        makeRoom();
+        evictOldestSuspect();
     auto &record = records_[verdict.request_];
-    const bool isCleared = record.clearedAt_ != TimePoint{} && now - record.clearedAt_ < clearedFor;
+    const bool isCleared
+        = record.clearedAt_ != TimePoint{} && now - record.clearedAt_ < clearanceLifetime;
     if (!isCleared)
         quarantine(verdict.request_, record, verdict.left_, now);
 }
@@ -236,36 +245,40 @@
         quarantine(request, records_[request], firstQuarantine, now);
 }
 
-/// A flood of requests with contents of their own must not take the memory: the suspect that was
-/// seen least lately goes, a verdict never.
-void PoisonPills::makeRoom()
+/// Bounds memory against a flood of distinct requests: evicts the least recently seen suspect, and
+/// active verdicts only if there are no suspects.
+void PoisonPills::evictOldestSuspect()
 {
-    if (records_.size() < mostRecords)
+    if (records_.size() < maxRecords)
         return;
     const auto oldest
         = std::min_element(records_.begin(), records_.end(), [](auto &left, auto &right) {
-              return std::pair(left.second.until_, left.second.seenAt_)
-                     < std::pair(right.second.until_, right.second.seenAt_);
+              return std::pair(left.second.quarantinedUntil_, left.second.lastEvidenceAt_)
+                     < std::pair(right.second.quarantinedUntil_, right.second.lastEvidenceAt_);
           });
     records_.erase(oldest);
 }
 
-/// A quarantine that is over leaves the request one end short of the next verdict, for as long as
-/// it lasted at least.
+/// After a quarantine the request stays one crash short of the next verdict, for at least as long
+/// as the quarantine lasted.
 void PoisonPills::expire(TimePoint now)
 {
     std::erase_if(records_, [now](const auto &one) {
         const auto &record = one.second;
-        const auto memory = std::max(evidenceLifetime, record.until_ - record.seenAt_);
-        return now >= record.until_ && now - std::max(record.seenAt_, record.until_) > memory;
+        const auto memory
+            = std::max(evidenceLifetime, record.quarantinedUntil_ - record.lastEvidenceAt_);
+        return now >= record.quarantinedUntil_
+               && now - std::max(record.lastEvidenceAt_, record.quarantinedUntil_) > memory;
     });
     for (auto &[request, record] : records_) {
-        const bool isOver = record.until_ != TimePoint{} && now >= record.until_;
+        const bool isOver
+            = record.quarantinedUntil_ != TimePoint{} && now >= record.quarantinedUntil_;
         while (isOver && weightOf(record.crashes_) >= verdictWeight)
             record.crashes_.erase(record.crashes_.begin());
     }
-    std::erase_if(servedAt_, [now](const auto &one) { return now - one.second > servedLately; });
-    const auto isOld = [now](const auto &one) { return now - one.at_ > toldFor; };
+    std::erase_if(servedAt_,
+                  [now](const auto &one) { return now - one.second > recentlyServedPeriod; });
+    const auto isOld = [now](const auto &one) { return now - one.at_ > announcementPeriod; };
     std::erase_if(ownCrashes_, isOld);
     std::erase_if(ownCleared_, isOld);
 }
@@ -274,9 +287,9 @@
                                                     TimePoint now) const
 {
     const auto found = records_.find(request);
-    if (found == records_.end() || now >= found->second.until_)
+    if (found == records_.end() || now >= found->second.quarantinedUntil_)
         return std::nullopt;
-    return found->second.until_ - now;
+    return found->second.quarantinedUntil_ - now;
 }
 
 bool PoisonPills::isSuspect(const RequestFingerprint &request) const
@@ -290,7 +303,7 @@
 {
     std::map<RequestFingerprint, std::vector<EndpointLife>> result;
     for (const auto &[request, record] : records_) {
-        if (now >= record.until_)
+        if (now >= record.quarantinedUntil_)
             continue;
         auto &endpoints = result[request];
         for (const auto &[endpoint, hadEvents] : record.crashes_)
@@ -303,28 +316,28 @@
 {
     PoisonNews result;
     for (const auto &crash : ownCrashes_) {
-        if (now - crash.at_ <= toldFor)
+        if (now - crash.at_ <= announcementPeriod)
             result.crashes_[crash.value_.endpoint_].insert(
                 result.crashes_[crash.value_.endpoint_].end(), crash.value_.requests_.begin(),
                 crash.value_.requests_.end());
     }
     for (const auto &cleared : ownCleared_) {
-        if (now - cleared.at_ <= toldFor)
+        if (now - cleared.at_ <= announcementPeriod)
             result.cleared_.push_back(cleared.value_);
     }
     std::vector<PoisonVerdict> inForce;
     for (const auto &[request, record] : records_) {
-        if (now < record.until_)
-            inForce.push_back({request, record.until_ - now});
+        if (now < record.quarantinedUntil_)
+            inForce.push_back({request, record.quarantinedUntil_ - now});
     }
     const auto next = std::find_if(inForce.begin(), inForce.end(), [this](const auto &one) {
-        return !lastTold_ || one.request_ > *lastTold_;
+        return !lastAnnounced_ || one.request_ > *lastAnnounced_;
     });
     std::rotate(inForce.begin(), next, inForce.end());
-    if (inForce.size() > mostVerdicts)
-        inForce.resize(mostVerdicts);
+    if (inForce.size() > maxAnnouncedVerdicts)
+        inForce.resize(maxAnnouncedVerdicts);
     if (!inForce.empty())
-        lastTold_ = inForce.back().request_;
+        lastAnnounced_ = inForce.back().request_;
     result.verdicts_ = std::move(inForce);
     return result;
 }
