--- a/src/serving/node.cpp
+++ b/src/serving/node.cpp
@@ -15,29 +15,34 @@
 
 namespace {
 
-/// Rows of entry VMs: the name is the key, the address of the digests the value.
+/// Rows of entry VMs: the key is the name, the value is the address for digests, the zone and the
+/// capacity.
 constexpr auto peerTable = "entries";
 
-/// Engines list each step of a group; a call for each would be most of all calls.
+/// Engines write an entry for each step of forming a group; fetching each one separately would
+/// account for most calls to the store.
 constexpr Duration endpointPause = std::chrono::milliseconds(250);
-/// The planner waits for each step of a group to give the next order.
+/// Shorter at the planner, which needs to see each step of a group before it gives the next order.
 constexpr Duration plannerPause = std::chrono::milliseconds(60);
 
-/// An entry VM without a confirmation for that long sends callers elsewhere.
+/// An entry VM reports that it isn't ready once its configuration has been unconfirmed for that
+/// long.
 constexpr Duration readyUnconfirmed = std::chrono::milliseconds(3500);
 
-/// A process counts as learning for that long at most: four times what a large configuration takes
-/// on a small link. Each request waits for its own share.
+/// Maximum time for which a process counts as starting up: four times the time to load a large
+/// configuration over a small link. Each request also has a limit of its own for this wait.
 constexpr Duration longestLearning = std::chrono::milliseconds(1000);
 
-/// A planner whose view is older stands back: others see the engines change meanwhile. Below the
-/// age beyond which it would stop planning anyway, so that another one begins sooner.
+/// A planner whose view of the endpoints is older gives up the lease, as other entry VMs still
+/// receive changes of engines. Less than the age at which it would stop planning anyway, so that
+/// another one takes over sooner.
 constexpr Duration oldView = std::chrono::milliseconds(2000);
-/// It does so for longer than another one needs to gain the lease and to see a step through.
+/// How long it does not compete for the lease: longer than another entry VM needs to acquire it and
+/// complete a step.
 constexpr Duration standby = std::chrono::seconds(5);
 
-/// Share of the own link that may be used for what is passed on to peers, so that callers and
-/// orders are not held up by a first listing of all engines, and sums are not lost in it.
+/// Share of the link that relayed data may use, so that the first listing of all engines doesn't
+/// delay callers and orders or make sums get lost.
 constexpr double sharedLink = 0.25;
 constexpr double bytesPerMegabit = 125'000;
 
@@ -85,7 +90,8 @@
     noteLearning();
     configurationWatch_.start();
     endpointWatch_.start();
-    // Peers that start later find this one listed, and are known by their first digest.
+    // Peers that start later find this entry VM in the table and are discovered by their first
+    // digest.
     peerWatch_.setActive(false);
     readQuarantines();
     parts_.gateway_.onEndpointCrash([this] { hasCrashNews_ = true; });
@@ -114,8 +120,8 @@
 }
 
 /// After a restart callers reach the process before it has read the configuration and the
-/// endpoints. A configuration whose confirmation is still to be noted is not known yet: its keys
-/// would count as not confirmed.
+/// endpoints. A configuration doesn't count as loaded until its confirmation has been recorded,
+/// since its keys would be rejected as unconfirmed.
 void Node::noteLearning()
 {
     const bool knowsAll
@@ -139,7 +145,7 @@
                                  peerWatch_.start();
                                  return;
                              }
-                             // The row may be written twice; it has the same content.
+                             // A retry may write the row twice, with the same content.
                              parts_.clock_.schedule(std::chrono::seconds(1), [this, alive] {
                                  if (!alive.expired())
                                      announce();
@@ -210,7 +216,7 @@
     const auto version = valueOf(configuration).version_;
     const auto &routes = parts_.gateway_.routes();
     if (routes && version <= routes->version())
-        return; // Versions only rise in a process.
+        return; // The version never decreases within a process.
     log::info(event::configurationInForce,
               {{"version", std::to_string(version.value())},
                {"row", row.isNone() ? "from-peer" : std::to_string(row.value())},
@@ -247,7 +253,7 @@
     peers_[entry] = {*digests, AvailabilityZone(zone), capacity, {}, {}, parts_.clock_.now()};
 }
 
-/// What other entry VMs find in the store: address, zone and capacity.
+/// The value of this entry VM's row: address, zone and capacity.
 std::string Node::peerRow() const
 {
     return settings_.digests_.text() + ' ' + settings_.zone_.text() + ' '
@@ -260,8 +266,8 @@
     rosterSums_.clear();
 }
 
-/// What follows from who the peers are is dealt anew once for all changes since the last digest:
-/// in a fleet that starts each entry VM meets all others within a second.
+/// Recomputes everything that depends on the set of peers, once per digest period however many
+/// changes there were: in a fleet that starts, each entry VM discovers all others within a second.
 void Node::peersChanged()
 {
     arePeersOther_ = false;
@@ -302,7 +308,8 @@
     } else if (table == parts_.format_.endpointTable()) {
         storeAnswered(asOf);
         parts_.gateway_.confirmEndpoints(asOf);
-        // The store has no more than this; a peer that tells of more is wrong, or tells it again.
+        // The store has nothing newer, so a peer that reported a newer version was wrong, or will
+        // report it again.
         heardVersion_ = {};
     }
 }
@@ -315,9 +322,10 @@
          {"unconfirmed-ms", std::to_string(toMilliseconds(parts_.gateway_.unconfirmedFor()))}});
 }
 
-/// Entries may have lapsed while the store was away. It was if it answered no entry VM for longer
-/// than an undisturbed one goes without a confirmation; that this one's own calls failed, or that
-/// it made none for long, says nothing about the store, and would excuse endpoints that have ended.
+/// Entries may have lapsed while the store was unavailable. It counts as unavailable if no entry VM
+/// had an answer for longer than the longest regular gap between confirmations. That calls of this
+/// entry VM failed, or that it made none for long, says nothing about the store, and would excuse
+/// endpoints that have ended.
 void Node::storeAnswered(TimePoint asOf)
 {
     const auto gap = asOf - storeAnsweredAt_;
@@ -350,13 +358,13 @@
     return now < standbyUntil_;
 }
 
-/// A planner that is late with what the engines list leaves the lease to another one: its own link
-/// or processor may be what is overrun. One that alone is left plans on.
+/// A planner whose view of the engines lags gives up the lease to another entry VM, since its own
+/// link or CPU may be overloaded. Without peers it continues to plan.
 void Node::noteOldView(TimePoint now)
 {
     if (!parts_.lease_.isHeld())
         plansSince_ = now;
-    // One that has just gained the lease is about to look.
+    // An entry VM that has just acquired the lease is given time to refresh its view.
     const auto age = now - std::max(parts_.gateway_.endpointsConfirmedAt(), plansSince_);
     const bool isTooOld = age > oldView && !peers_.empty();
     if (isTooOld && !isStandingBy(now)) {
@@ -372,8 +380,9 @@
     }
 }
 
-/// At a first start the other entry VMs are listed a little later; if each contended before, all
-/// of them would.
+/// At the first start of the system the other entry VMs appear in the table slightly later. An
+/// entry VM that competed for the lease before then would know of no others, and all of them would
+/// compete.
 void Node::startLease(TimePoint now)
 {
     if (isLeaseStarted_ || (settings_.isFirstStart_ && now - startedAt_ < startPhase))
@@ -393,15 +402,15 @@
     if (!parts_.gateway_.routes() || !areEndpointsListed_)
         return;
     const bool isPlanner = parts_.lease_.isHeld();
-    // Only those that plan or may need the demand of all.
+    // Only planners and candidates need the demand of all entry VMs.
     if (isPlanner || rank_)
         takeDemand();
-    // The others get nearly all changes passed on.
+    // The others receive nearly all changes by relay.
     const auto watcherPause = rank_ == 0 ? endpointPause : news_.sparePause_;
     endpointWatch_.setPause(isPlanner ? plannerPause : watcherPause);
     if (isPlanner)
         keepQuarantines(now);
-    // Engines may be listed as they were before their last orders.
+    // Entries of engines in a restored store may predate their last orders.
     if (isSettling(now))
         return;
     parts_.manager_.tick(*parts_.gateway_.routes(), parts_.gateway_.endpointsConfirmedAt());
@@ -410,7 +419,7 @@
 void Node::takeDemand()
 {
     auto demand = fleetDemand();
-    // Before traffic the operators' shares are all there is to go by.
+    // Before any traffic the operators' shares are the only input of the plan.
     if (!demand.empty())
         parts_.manager_.setTrafficSeen();
     parts_.manager_.setDemand(std::move(demand));
--- a/src/serving/node_endpoints.cpp
+++ b/src/serving/node_endpoints.cpp
@@ -1,4 +1,5 @@
-// What the endpoints list of themselves: read, told to the book and to peers, logged.
+// Entries of endpoints: reads them, updates the endpoint book, relays changes to peers and logs
+// them.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -12,11 +13,11 @@
 
 namespace {
 
-/// Entries that another writer has spoiled and that are told of; bounds the memory for them.
+/// Maximum number of endpoints with unreadable entries to log; bounds the memory for them.
 constexpr std::size_t mostRefused = 1000;
 
-/// Between two lines on the endpoints at entry VMs that do not plan; a line for each endpoint at
-/// each entry VM would be most of all lines.
+/// Interval between summary lines on endpoints. A line per endpoint at each entry VM would make up
+/// most of the log.
 constexpr Duration endpointsLogPeriod = std::chrono::seconds(1);
 
 constexpr std::string_view heardFromStore = "store";
@@ -24,8 +25,9 @@
 
 } // namespace
 
-/// A watch whose history was lost lists anew. Readers of this entry VM's news are told what has
-/// changed since all the same; otherwise all entry VMs list all endpoints at the same moment.
+/// A watch that lost its history lists the whole table. The differences are still added to the
+/// history, so that readers of this entry VM's relay get just the changes; otherwise all entry VMs
+/// would list all endpoints at the same moment.
 void Node::endpointsListed(const std::vector<platform::Row> &rows)
 {
     const auto now = parts_.clock_.now();
@@ -63,9 +65,9 @@
     noteLearning();
 }
 
-/// A restored store lists endpoints as they were some seconds ago, so what is known here of the
-/// same life stands until they have written their entries again. A leaving is never older than its
-/// entry.
+/// A restored store lists endpoints in a state some seconds old. Known state of the same process
+/// therefore takes precedence until the endpoints have written their entries again, except that an
+/// endpoint that is draining in either remains draining: that flag is never older than the entry.
 void Node::keepWhatIsNewer(Endpoint &endpoint) const
 {
     const auto *known = parts_.book_.find(endpoint.id_);
@@ -76,8 +78,8 @@
     endpoint.isDraining_ = isDraining;
 }
 
-/// What changes where requests may go, at the entry VMs that plan or may; the steps on the way only
-/// at the planner, which acts on them.
+/// Planners and candidates log changes that affect where requests may go; only the planner logs the
+/// steps in between, as it acts on them.
 bool Node::isWorthLogging(const Endpoint *known, const Endpoint &now) const
 {
     if (!rank_ && !parts_.lease_.isHeld())
@@ -102,8 +104,8 @@
     endpointChanged(result, heardFromStore);
 }
 
-/// An entry that another writer has spoiled names nothing to use, until the endpoint writes it
-/// anew. It is logged once, however often it is written.
+/// An unreadable entry, for example one that another writer has overwritten, is ignored until the
+/// endpoint writes it again. Logged once per endpoint until it is readable again.
 std::optional<Endpoint> Node::readEndpoint(const platform::Row &row)
 {
     const VmId id(row.key_.key_);
@@ -132,8 +134,8 @@
     return parts_.clock_.now() - parts_.gateway_.endpointsConfirmedAt();
 }
 
-/// One line at each entry VM when it learns that an endpoint gets nothing new any more. The store
-/// had acknowledged that `view-age-ms` before, at the most.
+/// Each entry VM logs one line when it learns that an endpoint takes no new requests. `view-age-ms`
+/// is the upper bound of the time since the store acknowledged the change.
 void Node::logLeaving(const EndpointChange &change, std::string_view source) const
 {
     const auto *known = parts_.book_.find(change.id_);
@@ -147,12 +149,12 @@
                                        {"view-age-ms", std::to_string(toMilliseconds(viewAge()))}});
 }
 
-/// \param source where the news comes from, for the log.
+/// \param source where the change was learned from, for the log.
 void Node::endpointChanged(const EndpointChange &change, std::string_view source)
 {
     const auto now = parts_.clock_.now();
     logLeaving(change, source);
-    // Some entry VM has it from the store just now.
+    // Some entry VM has just received this change from the store.
     storeAnswered(now);
     history_.add(change, now);
     listedVersion_ = std::max(listedVersion_, change.version_);
--- a/src/serving/node_evacuations.cpp
+++ b/src/serving/node_evacuations.cpp
@@ -1,4 +1,5 @@
-// What operators write beside the configuration: availability zones that get no requests.
+// Evacuated availability zones, which get no requests; operators write them beside the
+// configuration.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -51,8 +52,8 @@
         evacuationsChanged(before, heardFromStore);
 }
 
-/// \param before the zones that were evacuated until now.
-/// \param source where the news comes from, for the log.
+/// \param before the zones that were evacuated before the change.
+/// \param source where the change was learned from, for the log.
 void Node::evacuationsChanged(const std::set<AvailabilityZone> &before, std::string_view source)
 {
     const auto &zones = evacuations_.zones();
@@ -77,7 +78,7 @@
                {"version", std::to_string(evacuations_.state().version_.value())}});
 }
 
-/// Endpoints may have become cold while they got nothing, and their entries say so later.
+/// Endpoints may have become cold while they got no requests, and their entries say so only later.
 void Node::zoneReturned(const AvailabilityZone &zone, std::string_view source)
 {
     const auto endpoints = parts_.book_.inZone(zone);
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -1,4 +1,4 @@
-// What entry VMs tell each other: digests, sums, alarms, and who is alive.
+// Communication between entry VMs: load digests, sums, alarms and peer liveness.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -12,21 +12,22 @@
 
 namespace {
 
-/// Entries of the roster that one sum carries; whole rosters make bursts of which a small link
-/// drops the end.
+/// Roster entries per sum. Whole rosters cause bursts whose end a small link drops.
 constexpr std::size_t rosterPage = 8;
 
-/// A peer that is not heard of for that long no longer counts; it is back with its next digest.
+/// A peer that sent nothing for that long is dropped; its next digest adds it again.
 constexpr Duration peerLifetime = std::chrono::seconds(6);
 
-/// Between two listings of the peers by an entry VM that hears of few; a call costs.
+/// Interval at which an entry VM that has lost most of its peers lists them again; each listing is
+/// a call to the store.
 constexpr Duration lostPeersPause = std::chrono::seconds(4);
 
-/// Between two reports where endpoints end one after the other. A domain that fails ends dozens in
-/// a few milliseconds, and a reporter's sums for all members with each would fill its link.
+/// Minimum interval between reports when endpoints end in quick succession. A failing domain ends
+/// dozens within a few milliseconds; a reporter that sent sums to all members for each would
+/// saturate its link.
 constexpr Duration leastReportGap = std::chrono::milliseconds(40);
 
-/// Time over which the demand is smoothed; a group takes some seconds to form.
+/// Time constant for smoothing the demand; forming a group takes some seconds.
 constexpr double demandMemorySeconds = 4;
 
 } // namespace
@@ -91,7 +92,7 @@
         parts_.datagrams_.send(peer.address_, text);
 }
 
-/// Tells all peers directly, or in a large fleet the reporter of the zone.
+/// Sends the digest to all peers or, in a large fleet, to the reporter of the zone.
 void Node::report(TimePoint now)
 {
     reportedAt_ = now;
@@ -114,7 +115,8 @@
     sendSums(now);
 }
 
-/// What peers told in another arrangement of the fleet would be counted twice.
+/// Drops the load received so far, since peers' load that arrived by the previous path would be
+/// counted twice.
 void Node::setReporter(const std::optional<EntryId> &reporter, bool isNeeded)
 {
     const bool isSame = reporter_ == reporter && hasReporters_ == isNeeded;
@@ -136,7 +138,7 @@
                                        {"peers", std::to_string(peers_.size())}});
 }
 
-/// Sums go to the reporters of the other zones and to those who report here.
+/// Sends sums to the reporters of the other zones and to the members that report here.
 void Node::sendSums(TimePoint now)
 {
     const auto members = hub_.members();
@@ -157,12 +159,14 @@
     fleet.roster_ = pageOf(hub_.roster(true, now));
     fleet.rosterTotal_ = statedTotal({}, now);
     const auto fleetText = encode(fleet);
-    // What does not fit into the link's queue is lost; not always to the same ones.
+    // The link's queue drops what exceeds it; rotating the order spreads the losses over all
+    // members.
     for (std::size_t i = 0; i < members.size(); ++i)
         parts_.datagrams_.send(members[(i + sumsSent_) % members.size()].address_, fleetText);
 }
 
-/// A few entries at a time, so that sums stay small; all of them in turn.
+/// The next few roster entries, so that sums stay small; successive sums cycle through the whole
+/// roster.
 std::vector<PeerSeat> Node::pageOf(std::vector<PeerSeat> roster) const
 {
     if (roster.size() <= rosterPage)
@@ -198,7 +202,7 @@
         takeLoad(from, fleet_.others(summary, told_), peers_.size(), now);
 }
 
-/// News of several entry VMs.
+/// Records the load of several entry VMs, received in one sum.
 void Node::takeLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now)
 {
     sums_[from] = {std::move(sum.demand_), std::move(sum.repeats_), now};
@@ -226,7 +230,7 @@
     for (const auto &[entry, sum] : sums_)
         add(sum.repeats_);
     if (reporter_)
-        return result; // The reporter's sums hold all peers.
+        return result; // The reporter's sums cover all peers.
     for (const auto &[entry, peer] : peers_)
         add(peer.repeats_);
     return result;
@@ -258,8 +262,8 @@
         clocks_.take(*answer, parts_.clock_.now());
 }
 
-/// Notes that a peer is alive.
-/// \returns false if it is this entry VM or one that has left just now.
+/// Records that a peer is alive.
+/// \returns false if \p seat is this entry VM, one that has just left, or one without an address.
 bool Node::meet(const PeerSeat &seat, TimePoint now)
 {
     const auto left = leftAt_.find(seat.entry_);
@@ -303,7 +307,7 @@
             passOn(*std::move(missed), {digest.address_});
     }
     if (hasReporters_ && reporter_)
-        return; // The reporter's sums hold it.
+        return; // The reporter's sums include it.
     auto &peer = peers_[digest.from_];
     peer.demand_ = std::move(digest.demand_);
     peer.repeats_ = std::move(digest.repeats_);
@@ -312,8 +316,8 @@
                                std::move(digest.silent_), now, 1, std::move(digest.heard_)});
 }
 
-/// A lost engine holds up all streams of its group, so the planner is told at once; by digests it
-/// would know 0.2 s later.
+/// A failed engine blocks all streams of its group, so the planner candidates are alerted at once;
+/// digests would take 0.2 s longer.
 void Node::tellSilence()
 {
     auto silent = parts_.board_.silentHere();
@@ -330,7 +334,8 @@
     }
 }
 
-/// The sooner peers know what was under way at an endpoint that ended, the fewer end under it.
+/// The sooner peers know which requests were in flight at an endpoint that ended, the fewer
+/// endpoints the same request can end.
 void Node::tellCrashes()
 {
     const auto now = parts_.clock_.now();
@@ -338,7 +343,7 @@
         report(now);
 }
 
-/// Holds until the digests or sums of the same entry VM have told it too.
+/// Expires like other load, by when digests or sums of the sender report the stalled endpoints too.
 void Node::alarmArrived(const SilenceAlarm &alarm)
 {
     LoadBoard::PeerLoad load;
@@ -349,8 +354,9 @@
     tickPlan();
 }
 
-/// At a first start the entry VMs that started later are listed by then. One that has lost sight of
-/// most peers lists them anew: without them nobody would tell it anything.
+/// Lists the peers again. At the first start of the system this finds entry VMs that started later.
+/// Later on it serves an entry VM that has lost most of its peers, to which nobody else might send
+/// anything.
 void Node::lookForPeers(TimePoint now)
 {
     mostPeers_ = std::max(mostPeers_, peers_.size());
@@ -365,11 +371,11 @@
     peerWatch_.start();
 }
 
-/// Peers and sums that were not heard of lately no longer count.
+/// Drops peers and sums that were not updated lately.
 void Node::forgetSilent(TimePoint now)
 {
     std::erase_if(sums_, [now](const auto &one) { return now - one.second.at_ > peerLifetime; });
-    // While the reporter knows the same peers none of them can be silent.
+    // As long as the reporter has the same peers, none of them can be silent.
     const auto fleet = rosterFollows_.find({});
     if (reporter_ && fleet != rosterFollows_.end()
         && now - fleet->second.confirmedAt_ <= peerLifetime)
--- a/src/serving/node_quarantines.cpp
+++ b/src/serving/node_quarantines.cpp
@@ -1,5 +1,5 @@
-// Quarantines of requests that end endpoints, kept in the store so that they outlast a restart of
-// all entry VMs: otherwise each restart would cost three endpoints again.
+// Quarantines of requests that crash endpoints. They are kept in the store so that they outlast a
+// restart of all entry VMs; otherwise each restart would cost three more endpoints.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// Writes of one transaction; the store takes a hundred.
+/// Writes per transaction; the store accepts up to a hundred.
 constexpr std::size_t mostWrites = 50;
 
-/// Between two looks of the planner at what operators have lifted; a call each.
+/// Interval at which the planner checks for quarantines that operators have lifted; each check is a
+/// call to the store.
 constexpr Duration liftedPeriod = std::chrono::seconds(30);
 
 std::string textOf(const std::vector<EndpointLife> &endpoints)
@@ -28,17 +29,17 @@
 
 } // namespace
 
-/// The verdicts of a fleet that is restarted as a whole; later ones are told by peers.
+/// Loads the quarantines from before a restart of the whole fleet; later ones arrive from peers.
 void Node::readQuarantines()
 {
     quarantineWatch_.setActive(false);
     if (settings_.isFirstStart_)
-        quarantinesListedAt_ = parts_.clock_.now(); // There are none yet.
+        quarantinesListedAt_ = parts_.clock_.now(); // The store has none yet.
     else
         quarantineWatch_.start();
 }
 
-/// A row that is gone though its quarantine has not ended was deleted by an operator.
+/// A row that is missing before its quarantine has ended was deleted by an operator.
 void Node::quarantinesListed(const std::vector<platform::Row> &rows)
 {
     const auto now = parts_.clock_.now();
@@ -63,7 +64,8 @@
     keptQuarantines_ = std::move(listed);
 }
 
-/// The planner writes what it knows and the store does not hold, and deletes what has ended.
+/// Run by the planner: writes quarantines that are missing in the store and deletes those that have
+/// ended.
 void Node::keepQuarantines(TimePoint now)
 {
     if (isKeeping_ || quarantinesListedAt_ == TimePoint{})
@@ -98,7 +100,7 @@
         if (alive.expired())
             return;
         isKeeping_ = false;
-        // Without an answer the same rows are written again.
+        // If the commit fails or its outcome is unknown, the next attempt writes the same rows.
         if (isOk(result))
             keptQuarantines_ = kept;
     });
--- a/src/serving/node_relays.cpp
+++ b/src/serving/node_relays.cpp
@@ -1,5 +1,5 @@
-// What is known of the store without asking it: who watches it for all, what is passed on, how old
-// it is.
+// Relays data of the store between entry VMs: which of them watch the store, what they send to the
+// others, and how old it is.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -14,24 +14,28 @@
 
 namespace {
 
-/// News that did not come so often in a row: then an entry VM watches the store itself.
+/// An entry VM watches the store itself after that many relay messages in a row are missing.
 constexpr int missedNews = 2;
-/// Between those that begin to watch since all watches seem to have failed, in the order of duties,
-/// so that most hear from the first ones before their own turn.
+/// Delay between successive entry VMs, in the order of duties, that begin to watch because all
+/// watchers seem to have failed; most then hear from the first ones before their own turn.
 constexpr Duration watchTurn = std::chrono::milliseconds(10);
-/// Changes that were passed on arrive by then; what is still missing is asked for.
+/// Relayed changes arrive within that time; changes that are still missing are fetched from the
+/// store.
 constexpr Duration catchUpAfter = std::chrono::milliseconds(120);
-/// The same for an entry VM whose reporter answers each of its digests with what it lacks.
+/// The same for an entry VM whose reporter answers each of its digests with the changes it lacks.
 constexpr Duration catchUpFromSums = std::chrono::milliseconds(700);
-/// The store is not asked more often for a configuration that a peer has; refused calls are priced.
+/// Minimum interval between queries to the store for a configuration that a peer has; rejected
+/// calls are billed too.
 constexpr Duration askStoreAgain = std::chrono::milliseconds(800);
-/// A peer answers within a few milliseconds; two of its answers may be lost, or its link be full.
+/// How long to ask peers only. A peer answers within a few milliseconds, but two of its answers may
+/// be lost, or its link may be saturated.
 constexpr Duration configurationFromPeers = std::chrono::milliseconds(600);
-/// Longest pauses between calls that fail. Those that watch for all find out when the store is
-/// back; refused calls are priced.
+/// Maximum pause between failing calls. It is shorter for those that watch the store for all, as
+/// they find out when it is available again; rejected calls are billed too.
 constexpr Duration watcherFailurePause = std::chrono::milliseconds(400);
 constexpr Duration spareFailurePause = std::chrono::milliseconds(2500);
-/// Entry VMs that pass changes of endpoints on beside the planner, which hears of them first.
+/// Number of entry VMs that relay changes of endpoints in addition to the planner, which receives
+/// them first.
 constexpr std::uint32_t relayCount = 1;
 
 constexpr std::string_view heardFromPeer = "peer";
@@ -55,7 +59,7 @@
     const auto had = endpointWatch_.takeRelayed(relay.after_, relay.to_, last);
     if (!had)
         return;
-    // What is still missing is on its way too.
+    // The missing changes are probably on their way too.
     if (behindSince_ != TimePoint{})
         behindSince_ = parts_.clock_.now();
     for (const auto &change : relay.changes_) {
@@ -64,8 +68,8 @@
     }
 }
 
-/// In a large fleet the reporters get the changes, and answer with them the digests of those who
-/// report to them.
+/// In a large fleet the changes go to the reporters, which answer the digests of their members with
+/// them.
 std::vector<Address> Node::relayTargets() const
 {
     std::vector<Address> result;
@@ -92,7 +96,7 @@
     for (const auto &part : splitRelay(std::move(relay))) {
         const auto text = encode(part);
         if (!budget_.take(text.size() * targets.size(), now))
-            return; // Told again with the next digest, or peers catch up by themselves.
+            return; // Dropped changes are sent again after the next digest, or peers fetch them.
         for (const auto &address : targets)
             parts_.datagrams_.send(address, text);
     }
@@ -110,12 +114,13 @@
     return relay;
 }
 
-/// A few entry VMs watch the store and pass on what they learn; the others list it once, and watch
-/// only while they hear none of these, or while no newer confirmation comes: those that watch may
-/// have lost the store and go on to send digests. Calls to the store do not grow with the fleet.
+/// A few entry VMs watch the store and relay what they learn. The others list it once, and watch it
+/// only while they receive no relay messages, or while these bring no newer confirmation: a watcher
+/// that has lost the store continues to send digests. The number of calls to the store therefore
+/// doesn't grow with the fleet.
 void Node::chooseWatches(TimePoint now)
 {
-    // Who watches for all is known once the peers are.
+    // Watchers are determined by the set of peers, which is known from then on.
     const auto knowsPeersAt = startedAt_ + startPhase;
     configurationTrail_.startAt(knowsPeersAt);
     configurationTrail_.note(parts_.gateway_.confirmedAt(), now);
@@ -129,7 +134,7 @@
     const bool wasWatching = std::exchange(isWatching_, isFirst || !hearsRelay);
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
         watch->setFailurePause(isFirst ? watcherFailurePause : spareFailurePause);
-        // One that begins to watch must not wait for the next change to know how things stand.
+        // Refresh at once when starting to watch, instead of waiting for the next change.
         if (isWatching_ && !wasWatching)
             watch->catchUp();
         watch->setActive(isWatching_);
@@ -148,9 +153,8 @@
     endpointWatch_.setWait(news_.wait_);
 }
 
-/// Those that watch the store for all ask it for a newer configuration, and peers if the store
-/// turns them away; the others ask the peer that tells of it, and the store if that does not
-/// answer.
+/// Watchers query the store for a newer configuration, and peers if the store rejects the call. The
+/// others ask the peer that announced it, and the store if that peer doesn't answer.
 void Node::followConfiguration(const RelayState &relay, const Address &source, TimePoint now)
 {
     const auto &routes = parts_.gateway_.routes();
@@ -181,8 +185,8 @@
     takeConfiguration(whole->second, {});
 }
 
-/// Adds the longest time that the digest can have been on its way to the ages in it; without that
-/// time they say nothing.
+/// Adds the maximum transit time of the digest to the ages in it. If that time is unknown the ages
+/// are meaningless, and the relay state is dropped.
 void Node::ageRelay(LoadDigest &digest, TimePoint now)
 {
     if (!digest.relay_)
@@ -209,7 +213,7 @@
                            encode(ClockAnswer{settings_.entry_, stamp, question.askedAt_}));
 }
 
-/// What the store confirmed to a peer is confirmed here too if this one has the same version.
+/// A confirmation that a peer has from the store also holds here if both have the same version.
 void Node::followRelay(const RelayState &relay, const Address &source, TimePoint now)
 {
     relayHeardAt_ = now;
@@ -220,9 +224,10 @@
         evacuationsChanged(before, heardFromPeer);
 }
 
-/// A peer that knows no more than this entry VM confirms what is known here as of its own last
-/// word from the store. It does not take back what another one has told: entry VMs that had lost
-/// the store kept others, which reached it, from asking for a change that they had heard of.
+/// If a peer has no newer change than this entry VM, the state here is confirmed as of the peer's
+/// last confirmation from the store. This doesn't reset a newer version that another peer reported:
+/// otherwise entry VMs that had lost the store would keep others, which still reached it, from
+/// fetching a change that they had heard of.
 void Node::followEndpoints(const RelayState &relay, TimePoint now)
 {
     timelineSeen(relay.endpoints_.timeline(), heardFromPeer);
--- a/src/serving/node_restores.cpp
+++ b/src/serving/node_restores.cpp
@@ -1,4 +1,4 @@
-// What an entry VM does when the platform's store comes back from a backup.
+// Handles a restore of the platform's store from a backup.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -11,16 +11,17 @@
 
 namespace {
 
-/// What operators, engines and entry VMs write again after the store was restored from a backup is
-/// there by then.
+/// Operators, engines and entry VMs have rewritten their rows within that time after a restore.
 constexpr Duration settleTime = std::chrono::milliseconds(2000);
-/// An endpoint that has ended writes nothing again; its entry lapses after three heartbeats.
+/// An endpoint that has ended doesn't rewrite its entry; the restored entry lapses after three
+/// heartbeats.
 constexpr Duration leavingHeld = std::chrono::seconds(5);
-/// A timeline that is further ahead than that is an error of who tells it.
+/// A timeline that is further ahead is considered an error of the sender.
 constexpr std::uint64_t mostRestoresMissed = 64;
-/// Such a peer says it in each of its digests.
+/// Maximum number of log lines about such timelines; a faulty peer repeats the timeline in each
+/// digest.
 constexpr std::size_t mostTimelinesLogged = 5;
-/// Between the entry VMs that write their rows again, in the order of duties.
+/// Delay between successive entry VMs, in the order of duties, that rewrite their rows.
 constexpr Duration announceTurn = std::chrono::milliseconds(10);
 
 } // namespace
@@ -56,10 +57,10 @@
         storeRestored(*before, source);
 }
 
-/// The store has come back from a backup: what was written in the last seconds before is gone until
-/// operators, engines and entry VMs have written it again. Meanwhile what is known here stands: an
-/// endpoint that left stays so, one that is missing is excused, and the configuration in force does
-/// not count as confirmed, since a newer one may have been lost.
+/// The restored store lacks the writes of the last seconds before the restore until operators,
+/// engines and entry VMs have repeated them. Until then the local state takes precedence: endpoints
+/// that left remain so, missing ones are excused, and the current configuration doesn't count as
+/// confirmed, since a newer one may have been lost.
 void Node::storeRestored(StoreTimeline before, std::string_view source)
 {
     const auto now = parts_.clock_.now();
@@ -80,13 +81,13 @@
          {"endpoints", std::to_string(parts_.book_.size())},
          {"quarantines", std::to_string(parts_.gateway_.poisonPills().quarantined(now).size())},
          {"settles-in-ms", std::to_string(toMilliseconds(settleTime))}});
-    // The others hear of it at once.
+    // Notify the peers at once.
     report(now);
     parts_.clock_.schedule(settleTime, [this, alive = std::weak_ptr(isAlive_)] {
         if (alive.expired() || isSettling(parts_.clock_.now()))
             return;
         endpointWatch_.listAnew();
-        // One may have been taken back meanwhile, without a change that the store tells.
+        // An evacuation may have been revoked meanwhile, without a change that the store reports.
         if (!evacuations_.zones().empty())
             configurationWatch_.listAnew();
     });
--- a/src/serving/node_roster.cpp
+++ b/src/serving/node_roster.cpp
@@ -1,4 +1,5 @@
-// Who the peers are in a fleet that is too large to be told whole: by sums of what each knows.
+// Keeps the known peers in step in a fleet whose full roster is too large to send, by comparing
+// hashes of the rosters.
 #include <cardamombay/serving/node.hpp>
 
 #include "serving/log_events.hpp"
@@ -12,18 +13,18 @@
 
 namespace {
 
-/// A process that has just started may know few others, and says nothing of who is there.
+/// A process that has just started may know few others, and doesn't report a roster for that long.
 constexpr Duration learnsFleetFor = std::chrono::seconds(2);
-/// All entry VMs of its zone have told a new reporter of themselves by then, with several digests.
+/// Within that time all entry VMs of its zone have sent a new reporter several digests.
 constexpr Duration learnsZoneFor = std::chrono::seconds(1);
-/// What is new on both sides arrives by then without a question.
+/// Peers that are new on either side are discovered by digests within that time, without a query.
 constexpr Duration askRosterAfter = std::chrono::milliseconds(300);
-/// An answer takes some milliseconds, or is lost.
+/// Minimum interval between queries; an answer takes some milliseconds unless it is lost.
 constexpr Duration askRosterAgain = std::chrono::milliseconds(500);
 
 } // namespace
 
-/// \param zone empty for all.
+/// \param zone empty for the whole fleet.
 std::vector<PeerSeat> Node::rosterOf(const AvailabilityZone &zone) const
 {
     std::vector<PeerSeat> result;
@@ -37,7 +38,7 @@
     return result;
 }
 
-/// The sums of what is known here, once for each change of the peers.
+/// Hashes of the known peers, cached until the peers change.
 const RosterSums &Node::rosterSums(const AvailabilityZone &zone)
 {
     const auto [place, isNew] = rosterSums_.try_emplace(zone);
@@ -46,9 +47,9 @@
     return place->second;
 }
 
-/// What this reporter answers for: entry VMs of its zone that tell it of themselves, and what it
-/// knows of other zones. Others may still count on those that are silent, but a word on them that
-/// went from one reporter to the next and back would never end.
+/// The roster that this reporter vouches for: entry VMs of its own zone that send it digests, and
+/// its known peers of other zones. Peers of its own zone that it only knows from others are
+/// excluded: reporters that repeated such entries to each other would keep them alive forever.
 std::vector<PeerSeat> Node::statedRoster(const AvailabilityZone &zone, TimePoint now) const
 {
     auto result = rosterOf(zone);
@@ -71,8 +72,8 @@
     return answersForZone(now) ? RosterSums(statedRoster(zone, now)).total() : 0;
 }
 
-/// The own reporter tells of the fleet, reporters of other zones tell of these. A reporter hears
-/// its own zone's entry VMs itself.
+/// The reporter of the own zone is the source for the whole fleet, and reporters of other zones for
+/// their zones. A reporter receives the digests of its own zone directly.
 bool Node::isRosterSource(const EntryId &from, const AvailabilityZone &zone) const
 {
     if (zone.isEmpty())
@@ -80,7 +81,7 @@
     return hasReporters_ && !reporter_ && zone != settings_.zone_;
 }
 
-/// Peers that the same sum holds are there, whenever they were named last.
+/// Equal hashes confirm all peers in scope, however long ago each was last mentioned.
 void Node::followRoster(const LoadSummary &summary, TimePoint now)
 {
     const auto zone = summary.isOfZone_ ? summary.sum_.zone_ : AvailabilityZone();
@@ -112,12 +113,13 @@
          answerTo(question, settings_.entry_, statedRoster(question.zone_, now))) {
         const auto text = encode(part);
         if (!budget_.take(text.size(), now))
-            return; // The rest still differs when it is asked for again.
+            return; // The remaining buckets still differ at the next query.
         parts_.datagrams_.send(question.address_, text);
     }
 }
 
-/// Buckets that do not differ hold the same entry VMs there; those that are told hold no others.
+/// Buckets that don't differ hold the same entry VMs on both sides; the buckets in the answer are
+/// complete.
 void Node::rosterArrived(const RosterAnswer &answer)
 {
     if (!isRosterSource(answer.from_, answer.zone_))
@@ -132,7 +134,7 @@
         takeBucket(bucket, answer.zone_, now);
 }
 
-/// \param zone the bucket is of its entry VMs only; empty: of all.
+/// \param zone the bucket covers only entry VMs of this zone; empty: of all zones.
 void Node::takeBucket(const RosterBucket &bucket, const AvailabilityZone &zone, TimePoint now)
 {
     const auto isGone = [&](const auto &one) {
@@ -148,7 +150,7 @@
         meet(seat, now);
 }
 
-/// When \p peer was heard of last, itself or by a sum that holds it.
+/// When \p peer was last confirmed, directly or by equal roster hashes.
 TimePoint Node::lastWordOf(const Peer &peer) const
 {
     auto result = peer.heardAt_;
