--- a/src/serving/digest_hub.cpp
+++ b/src/serving/digest_hub.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-/// Several digests of a source are missed by then; the same time as for digests that come direct.
+/// By then several digests of a source are missing. The same as for digests that are received
+/// directly.
 constexpr Duration sourceLifetime = std::chrono::milliseconds(1500);
 
-/// An entry VM of another zone that its reporter no longer lists is left out after two rounds of
-/// its rosters.
+/// Drops an entry VM of another zone that its reporter hasn't listed in two cycles through its
+/// roster.
 constexpr Duration listedFor = std::chrono::seconds(2);
 
-/// A count stays in several sums, so that one that is lost does no harm.
+/// Each count is repeated in several sums, so that losing one does no harm.
 constexpr Duration toldFor = std::chrono::milliseconds(1200);
 
-/// The newest version with the youngest confirmation of each part.
+/// Keeps the newest version and most recent confirmation of each part.
 void mergeRelay(std::optional<RelayState> &into, RelayState relay)
 {
     if (!into) {
@@ -95,7 +96,7 @@
     for (const auto &[endpoint, told] : digest.sent_) {
         const auto [place, isNew] = source.sent_.try_emplace(endpoint);
         auto &tokens = place->second;
-        // What was told first may have been sent long ago.
+        // Tokens in the first digest may have been sent long ago.
         if (!isNew && told > tokens.told_) {
             tokens.seen_ += told - tokens.told_;
             tokens.changedAt_ = now;
--- a/src/serving/duty_order.cpp
+++ b/src/serving/duty_order.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Share of the greatest capacity from which on a VM counts as one of the large ones. VMs of one
-/// kind stay together also where their settings say slightly different figures.
+/// VMs with at least this share of the greatest capacity count as large. It keeps VMs of one kind
+/// together even if their settings give slightly different figures.
 constexpr double largeShare = 0.5;
 
 } // namespace
--- a/src/serving/log_events.hpp
+++ b/src/serving/log_events.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Names of the events that the serving modules log; listed in docs/OPERATIONS.md.
+/// \brief Names of the log events of the serving modules; listed in docs/OPERATIONS.md.
 #pragma once
 
 #include <string_view>
@@ -24,7 +24,7 @@
 inline constexpr std::string_view endpointLimitUnreadable = "endpoint-limit-unreadable";
 /// \}
 
-/// \name What this entry VM believes
+/// \name State of this entry VM
 /// \{
 inline constexpr std::string_view configurationInForce = "configuration-in-force";
 inline constexpr std::string_view configurationRefused = "configuration-refused";
--- a/src/serving/news_budget.cpp
+++ b/src/serving/news_budget.cpp
@@ -6,26 +6,28 @@
 
 namespace {
 
-/// Part of the bound that no step uses, for a slow answer or a process that is late.
+/// Unassigned share of the bound, for a slow answer or a delayed process.
 constexpr double reserveShare = 0.125;
 
-/// A digest that is lost, and jitter.
+/// Allows for one lost digest and for jitter.
 constexpr Duration digestJitter = std::chrono::milliseconds(100);
-/// From an entry VM to its reporter, to another zone's and to its members; one may fail meanwhile.
+/// From an entry VM to its reporter, to another zone's reporter and to its members; one of them may
+/// fail meanwhile.
 constexpr int hopsOfSums = 4;
 
-/// All entry VMs of a large fleet that ask for themselves do so within that time, most of them not
-/// at all since the first ones tell what they have learnt.
+/// Period over which the entry VMs of a large fleet begin to query the store. Most of them never
+/// do, since the first ones relay what they learn.
 constexpr Duration turnsOfLargeFleet = std::chrono::milliseconds(400);
 
-/// The next look at what is known, and a call of the store.
+/// Time until the next check of the confirmations, plus one call to the store.
 constexpr Duration ownCall = std::chrono::milliseconds(200);
 
-/// A call costs, and each confirms the same; the confirmation also tells whether the store is away.
+/// Bounds of the wait in a call for changes. Each call costs, and only confirms the same state; but
+/// its answer also shows whether the store is available.
 constexpr Duration longestWait = std::chrono::milliseconds(1500);
 constexpr Duration leastWait = std::chrono::milliseconds(400);
 
-/// Share of the bound after which those that watch in case others fail look again.
+/// Delay of standby watchers after a change, as a share of the bound.
 constexpr double sparePauseShare = 0.25;
 
 } // namespace
@@ -35,7 +37,8 @@
     NewsBudget budget;
     budget.told_ = digestPeriod * (hasReporters ? hopsOfSums : 1) + digestJitter;
     budget.turns_ = hasReporters ? turnsOfLargeFleet : Duration::zero();
-    // The last confirmation may have come as late as it can; then some ask, the others are told.
+    // In the worst case the last confirmation arrives as late as possible; then some entry VMs
+    // query the store and relay to the others.
     const auto steps = budget.told_ + std::max(budget.told_, budget.turns_) + ownCall;
     const auto usable = fromSeconds(toSeconds(bound) * (1 - reserveShare));
     budget.wait_ = std::clamp<Duration>(usable - steps, leastWait, longestWait);
@@ -46,7 +49,7 @@
 
 void ConfirmationTrail::note(TimePoint asOf, TimePoint now)
 {
-    // An answer with changes and the one after it confirm nearly the same moment.
+    // An answer with changes and the one that follows it confirm nearly the same moment.
     if (asOf - asOf_ <= digestPeriod)
         return;
     asOf_ = asOf;
--- a/src/serving/notification.cpp
+++ b/src/serving/notification.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Bytes at the front within which a notification names its method.
+/// The method is only searched for within this many bytes at the start of a message.
 constexpr std::size_t frontBytes = 80;
 
 constexpr Duration longestTime = std::chrono::hours(24 * 365 * 100);
--- a/src/serving/notification.hpp
+++ b/src/serving/notification.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief JSON-RPC notifications between entry VMs: writing and lenient reading.
+/// \brief Writes and leniently reads the JSON-RPC notifications between entry VMs.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -18,27 +18,27 @@
 [[nodiscard]] std::string notification(std::string_view method, boost::json::object params);
 
 /// \brief The parameters if \p text is a notification of \p method.
-/// \details The method must stand at the front, where notification() writes it, so that a message
-/// is only parsed by the reader that it is for.
+/// \details The method must be near the start, where notification() writes it, so that only the
+/// reader that a message is meant for parses it.
 [[nodiscard]] std::optional<boost::json::object> paramsOf(std::string_view text,
                                                           std::string_view method);
 
-/// \brief Whole microseconds, the unit of times on the wire that are finer than milliseconds.
+/// \brief Whole microseconds, the unit on the wire for times finer than milliseconds.
 [[nodiscard]] std::int64_t microsecondsOf(Duration duration);
 
-/// \brief \p value as a count; nothing if it is none.
+/// \brief \p value as a non-negative integer; nothing if it isn't one.
 [[nodiscard]] std::optional<std::uint64_t> countIn(const boost::json::value &value);
 
-/// \brief \p value as a figure; nothing if it is negative, not finite or no number.
+/// \brief \p value as a number; nothing if it is negative, not finite or not a number.
 [[nodiscard]] std::optional<double> figureIn(const boost::json::value &value);
 
-/// \name Values by name; those that are absent or of another type are empty
+/// \name Members by name; empty or 0 if absent or of another type
 /// \{
 [[nodiscard]] std::string textIn(const boost::json::object &object, std::string_view name);
 [[nodiscard]] std::uint64_t numberIn(const boost::json::object &object, std::string_view name);
-/// \returns 0 also for what is negative or not finite.
+/// \returns 0 also for negative and non-finite numbers.
 [[nodiscard]] double realIn(const boost::json::object &object, std::string_view name);
-/// \brief A time in microseconds; at most a century, so that sums of two stay within a Duration.
+/// \brief A time in microseconds, limited to a century so that the sum of two fits into a Duration.
 [[nodiscard]] Duration microsecondsIn(const boost::json::object &object, std::string_view name);
 [[nodiscard]] bool flagIn(const boost::json::object &object, std::string_view name);
 /// \}
--- a/src/serving/peer_clocks.cpp
+++ b/src/serving/peer_clocks.cpp
@@ -14,16 +14,16 @@
 constexpr std::string_view questionMethod = "clock-question";
 constexpr std::string_view answerMethod = "clock-answer";
 
-/// Between two questions to one peer: an answer that waited in a queue bounds the clock badly, and
-/// a better one is there a second later. Costs both sides 200 bytes a second.
+/// Interval between questions to a peer. An answer that was queued gives a poor bound, which a
+/// better answer corrects a second later. Costs both sides 200 bytes per second.
 constexpr Duration askEvery = std::chrono::seconds(1);
-/// The same while no answer has come; one of the two datagrams may be lost.
+/// Interval while there is no answer yet; either datagram may have been lost.
 constexpr Duration askAgain = std::chrono::milliseconds(200);
 
-/// Relative difference of two clocks' speeds: ten times that of usual quartz clocks.
+/// Maximum relative difference in clock speed: ten times that of common quartz clocks.
 constexpr double drift = 200e-6;
 
-/// Peers that are followed are asked every second.
+/// Expires clocks of peers that are no longer followed; others are asked every second.
 constexpr Duration forgottenAfter = std::chrono::seconds(20);
 
 } // namespace
@@ -79,7 +79,7 @@
     return true;
 }
 
-/// A bound gets worse with time, as the clocks may run at different speeds.
+/// The bound loosens over time, as the clocks may run at different speeds.
 Duration PeerClocks::aheadAt(const Known &known, TimePoint now)
 {
     return known.ahead_ - fromSeconds(toSeconds(now - known.answeredAt_) * drift);
@@ -93,7 +93,7 @@
     if (!isAsked)
         return;
     auto &known = found->second;
-    // The peer's clock had this reading after the question was sent.
+    // The peer read its clock after the question was sent.
     const auto ahead = answer.askedAt_ - answer.stamp_.reading_;
     if (known.isAnswered_ && ahead <= aheadAt(known, now))
         return;
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -21,11 +21,10 @@
 constexpr std::string_view relayMethod = "endpoints";
 constexpr std::string_view alarmMethod = "silence";
 
-/// Entries of endpoints in one datagram; with 170 bytes each it stays below a usual packet of
-/// 1,500.
+/// Entries of endpoints per datagram; at 170 bytes each they fit into a packet of 1,500 bytes.
 constexpr std::size_t mostEntries = 7;
 
-/// Microseconds.
+/// In microseconds.
 constexpr std::uint64_t longestColdTold = 3'600'000'000;
 
 void readDemand(const json::value *value, std::map<ModelName, double> &demand)
@@ -40,8 +39,8 @@
     }
 }
 
-/// Requests, tokens and entry VMs that hear from it for each endpoint side by side, since names are
-/// most of the text: 36 groups take 0.9 KB in place of 1.6.
+/// One array per endpoint with requests, tokens and the number of entry VMs that hear from it,
+/// since names are most of the text: 36 groups take 0.9 KB instead of 1.6.
 json::object loadsOf(const LoadDigest &digest)
 {
     json::object result;
@@ -211,11 +210,11 @@
     return digest;
 }
 
-/// Places of an entry's parts; names would double its size.
+/// Positions in the array that encodes an entry; an object with names would be twice the size.
 enum EntryPart : std::size_t {
     IdPart,
     VersionPart,
-    EndParts, ///< Of an endpoint that is no longer listed.
+    EndParts, ///< Size of the entry of an endpoint that is no longer listed.
     ServicePart = EndParts,
     AddressPart,
     ZonePart,
@@ -230,7 +229,7 @@
     StatePart,
     BornPart,
     EntryParts,
-    ColdPart = EntryParts, ///< Microseconds; only of an endpoint that is cold.
+    ColdPart = EntryParts, ///< In microseconds; only present if the endpoint is cold.
     ColdEntryParts
 };
 
@@ -311,13 +310,14 @@
         change.version_ = RowVersion(numberAt<std::uint64_t>(entry, VersionPart));
         if (entry.size() == EndParts)
             return change;
-        // Entries of another version of this program must not be taken for an endpoint's end.
+        // An entry from another version of this program must not be mistaken for the removal of an
+        // endpoint.
         if (entry.size() != EntryParts && entry.size() != ColdEntryParts)
             return std::nullopt;
         change.endpoint_ = endpointIn(entry);
         return change;
     } catch (const std::exception &) {
-        return std::nullopt; // The whole message is left out, and told again.
+        return std::nullopt; // The whole message is discarded, and sent again later.
     }
 }
 
@@ -410,7 +410,8 @@
     EndpointRelay part;
     part.after_ = relay.after_;
     for (auto &change : relay.changes_) {
-        // Entries of one version stay together: a reader that has the version has them all.
+        // Entries of one version stay together, since a receiver that has a version must have all
+        // of its entries.
         const bool isNewVersion
             = !part.changes_.empty() && part.changes_.back().version_ != change.version_;
         if (isNewVersion && part.changes_.size() >= mostEntries) {
--- a/src/serving/reporters.cpp
+++ b/src/serving/reporters.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// Four sums of 100 ms are missed by then; a reporter that was killed is replaced half a second
-/// after.
+/// Missing sums for that long, four at 100 ms each, make a reporter count as failed. A reporter
+/// that was killed is thus replaced within half a second.
 constexpr Duration longestSilence = std::chrono::milliseconds(450);
 
-/// A reporter that was passed over is tried again then; a killed process is back within a second or
-/// two, and one that is gone for good is no longer a peer after six.
+/// How long a failed reporter is skipped before it is tried again. A killed process is back within
+/// a second or two, and one that is gone for good stops being a peer after six seconds.
 constexpr Duration passedOverFor = std::chrono::seconds(3);
 
-/// Reporters that hear from other zones; the second one takes over with fresh news.
+/// Reporters per zone that receive sums from other zones, so that the second one has current data
+/// when it takes over.
 constexpr std::size_t perZone = 2;
 
 } // namespace
@@ -26,7 +27,7 @@
 {
 }
 
-/// The order is dealt when the peers change, and only read with each digest.
+/// Computes the order once per change of the peers; each digest only reads it.
 void Reporters::setPeers(const std::map<EntryId, AvailabilityZone> &peers,
                          const std::map<EntryId, EntryCapacity> &capacities)
 {
@@ -44,7 +45,7 @@
         ranked_.emplace(zone, dutyOrder(zone.text(), entries));
 }
 
-/// The first ones that are not passed over.
+/// The first \p count entry VMs that are not skipped.
 std::vector<EntryId> Reporters::first(const std::vector<EntryId> &ranked, std::size_t count,
                                       TimePoint now) const
 {
--- a/src/serving/roster.cpp
+++ b/src/serving/roster.cpp
@@ -20,16 +20,16 @@
 constexpr std::string_view questionMethod = "roster-wanted";
 constexpr std::string_view answerMethod = "roster-part";
 
-/// Hexadecimal digits of a bucket's sum.
+/// Hexadecimal digits per bucket checksum.
 constexpr std::size_t sumDigits = 4;
-/// Buckets that one hexadecimal digit names.
+/// Buckets encoded in one hexadecimal digit.
 constexpr std::size_t bucketsInDigit = 4;
 constexpr int hexadecimal = 16;
 
-/// Entry VMs in one part of an answer, from which on the next part begins: about a packet.
+/// A part of an answer with that many entry VMs is full; it fills about one packet.
 constexpr std::size_t enoughSeats = 14;
 
-/// JSON readers may take numbers for doubles, which hold that many bits.
+/// JSON parsers may read numbers as doubles, which hold that many bits exactly.
 constexpr std::uint64_t exactBits = (std::uint64_t{1} << 52U) - 1;
 
 std::uint64_t hashOf(const PeerSeat &seat)
@@ -89,7 +89,7 @@
     return result;
 }
 
-/// A bucket that cannot be read is left out; it still differs the next time.
+/// Skips buckets that can't be parsed; they still differ at the next query.
 std::vector<RosterBucket> bucketsIn(const json::value *value)
 {
     std::vector<RosterBucket> result;
