--- a/tests/fleet_membership/lost_reporters.cpp
+++ b/tests/fleet_membership/lost_reporters.cpp
@@ -1,4 +1,4 @@
-// Who the peers are after all that tell of them have ended.
+// Known peers after the reporters of all zones have ended.
 #include "support/node_fleet.hpp"
 
 #include <cstdio>
--- a/tests/serving/digests.cpp
+++ b/tests/serving/digests.cpp
@@ -1,4 +1,4 @@
-// Who tells whom in a large fleet, and what the sums say.
+// Collecting digests in a large fleet: selection of reporters, contents of sums, change history.
 #include <cardamombay/serving/change_history.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
 #include <cardamombay/serving/load_board.hpp>
@@ -46,7 +46,7 @@
     return result;
 }
 
-/// The reporters of one entry VM among \p all.
+/// The reporters as seen by the entry VM \p name of the fleet \p all.
 Reporters reportersOf(const std::string &name, std::map<EntryId, AvailabilityZone> all)
 {
     Reporters result(EntryId(name), AvailabilityZone(name.substr(0, 1)));
@@ -118,7 +118,8 @@
     cr_assert_eq(others.underWay_.at(head), 3);
     cr_assert_eq(others.repeats_.at(ServiceName("s")).repeats_, 0);
     cr_assert_eq(others.sent_.at(head), 0);
-    // 700 more are told by this one, and reach the sum a digest later, with 500 of others.
+    // This entry VM reports 700 more tokens, which appear in the sum a digest later, together with
+    // 500 of others.
     others = reader.others(fleet, digest("self", 2, 3700));
     cr_assert_eq(others.sent_.at(head), 0);
     fleet.sum_.sent_[head] = 11'200;
--- a/tests/serving/duty_order.cpp
+++ b/tests/serving/duty_order.cpp
@@ -1,4 +1,4 @@
-// Duties go to large entry VMs, and all agree to which.
+// Duties go to large entry VMs, and all entry VMs agree on the order.
 #include <cardamombay/serving/duty_order.hpp>
 #include <cardamombay/serving/reporters.hpp>
 
@@ -14,7 +14,7 @@
 constexpr EntryCapacity large = 0.5 * 200;
 constexpr EntryCapacity small = 0.12 * 20;
 
-/// Three large entry VMs among \p count.
+/// A fleet of \p count entry VMs, three of them large.
 std::map<EntryId, EntryCapacity> fleet(int count)
 {
     std::map<EntryId, EntryCapacity> result;
--- a/tests/serving/node_fleet.cpp
+++ b/tests/serving/node_fleet.cpp
@@ -1,5 +1,5 @@
-// Whole control sides of many entry VMs: what they take for confirmed, who plans, what they ask of
-// the store.
+// Complete control planes of many entry VMs: confirmation of data, selection of the planner, calls
+// to the store.
 #include "support/node_fleet.hpp"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Time after which no request with a key that was taken away may run.
+/// A revoked key must not be accepted any longer than that.
 constexpr Duration revocation = seconds(5);
 
 std::string keyOf(std::uint64_t version)
@@ -23,7 +23,7 @@
     return "key-" + std::to_string(version);
 }
 
-/// Nodes that let in a request with a key of a configuration that was replaced too long ago.
+/// Counts nodes that still accept a key of a configuration that was replaced too long ago.
 std::size_t lateNodes(NodeFleet &fleet, const std::vector<TimePoint> &replacedAt)
 {
     std::size_t result = 0;
@@ -36,7 +36,7 @@
     return result;
 }
 
-/// Nodes that made calls to the store within three seconds of steady state: they watch it for all.
+/// Nodes that call the store within three seconds of steady state; these watch it for the others.
 std::vector<FleetNode *> watchersOf(NodeFleet &fleet)
 {
     std::vector<std::size_t> before;
@@ -51,8 +51,9 @@
     return result;
 }
 
-/// A change of the configuration \p phase after the store has fallen silent for all that watch it.
-/// \returns the longest time until another node has the change in force.
+/// Changes the configuration \p phase after startup has settled, just after the store stopped
+/// answering all nodes that watch it.
+/// \returns the time until all other nodes have applied the change.
 Duration timeToLearnWithoutWatchers(std::size_t entries, std::size_t zones, Duration phase)
 {
     NodeFleet fleet(entries, zones, entries > 16 ? 1 : 0, 11);
@@ -78,7 +79,7 @@
     return fleet.clock_.now() - changedAt;
 }
 
-/// The longest such time over all phases of the watches' calls.
+/// The maximum of that time over all phases of the watches' calls.
 Duration longestTimeToLearn(std::size_t entries, std::size_t zones)
 {
     Duration longest{};
@@ -92,20 +93,21 @@
 
 } // namespace
 
-/// Callers used a key for 3.2 s after it had been taken away; a configuration must be in force at
-/// every entry VM that reaches the store within 3 s (2 s in a fleet of seven). The store had fallen
-/// silent for 23 of 65 entry VMs, among them all three that watch it for the others, 0.3 s before
-/// the change. The others went on relying on what these had confirmed until it was 2.9 s old, and
-/// then waited 1.3 s more for their digests: the first of them asked the store 3.7 s after the
-/// change. Their log lines configuration-in-force and the calls that failed show it.
+/// Guards against a revoked key that stays in use: it was accepted for 3.2 s after its removal,
+/// where a configuration must take effect within 3 s at every entry VM that reaches the store (2 s
+/// in a fleet of seven). The store had stopped answering 23 of 65 entry VMs, among them all three
+/// watchers, 0.3 s before the change. The others relied on the watchers' confirmations until these
+/// were 2.9 s old and then waited 1.3 s more for their digests, so the first of them queried the
+/// store 3.7 s after the change.
 Test(node_fleet, change_is_in_force_in_time_when_the_store_is_silent_for_all_that_watch_it)
 {
     cr_expect_lt(longestTimeToLearn(40, 4).count(), Duration(seconds(3)).count());
     cr_expect_lt(longestTimeToLearn(7, 3).count(), Duration(seconds(2)).count());
 }
 
-/// Forty changes, each of which takes the key of the one before away. Queues, losses, pauses and
-/// links to the store that are cut come and go; only what is confirmed in time may be relied on.
+/// Forty changes, each of which revokes the key of the previous one, under delayed and lost
+/// datagrams, paused processes and interrupted links to the store. A node may accept keys only
+/// while their configuration has been confirmed in time.
 Test(node_fleet, no_key_is_honoured_past_its_bound_whatever_queues_datagrams_wait_in)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -136,7 +138,7 @@
                     letIn += fleet.node(i).honours(keyOf(version)) ? 1 : 0;
             }
         }
-        // The others do serve meanwhile.
+        // Nodes do accept the current key meanwhile.
         cr_assert_gt(letIn, 0);
     }
 }
@@ -179,7 +181,7 @@
     auto *first = fleet.planner();
     cr_assert_not_null(first);
     cr_assert(first->isLarge_);
-    // It still reaches the store for its lease, but hears nothing of the endpoints.
+    // It still reaches the store for its lease, but receives no changes of endpoints.
     first->readsLateBy_ = seconds(60);
     first->isFeedCut_ = true;
     FleetNode *second = nullptr;
@@ -211,7 +213,7 @@
         }
     }
     cr_assert_not_null(second);
-    // When it goes on it does not hold the lease any more.
+    // After it resumes it no longer holds the lease.
     first->clock_.setPaused(false);
     cr_assert_not(first->lease_->isHeldFor(Duration::zero()));
 }
@@ -225,7 +227,7 @@
     fleet.start();
     fleet.pass(seconds(4));
     const auto before = fleet.storeCalls();
-    // The watches hear nothing of these changes.
+    // The watches miss these changes.
     for (std::size_t i = 0; i < fleet.size(); ++i)
         fleet.node(i).isFeedCut_ = true;
     fleet.list("engine-new", "d");
@@ -244,10 +246,10 @@
     cr_assert_lt(fleet.storeCalls() - before, fleet.size());
 }
 
-/// At 300 entry VMs, whose reporters' links were full, leaving took 2.5 s to be in force in place
-/// of 1.5 and the store sent a tenth more: news came so late that the age of what was confirmed
-/// looked like watches that hear nothing, and the others asked the store as well. A delay is no
-/// silence: confirmations still move on.
+/// Guards against taking delay for loss. At 300 entry VMs, whose reporters' links were saturated, a
+/// leaving endpoint took 2.5 s to become known instead of 1.5 s, and the store sent a tenth more:
+/// confirmations arrived so late that their age suggested failed watchers, and the other entry VMs
+/// queried the store as well, although confirmations still advanced.
 Test(node_fleet, late_datagrams_do_not_make_the_others_watch_the_store)
 {
     std::vector<double> calls;
--- a/tests/serving/peer_clocks.cpp
+++ b/tests/serving/peer_clocks.cpp
@@ -1,4 +1,4 @@
-// How old a stamped message is, whatever the clocks say and whatever queue it has waited in.
+// Upper bounds for the age of stamped messages, independent of clock offsets and queueing.
 #include <cardamombay/core/random.hpp>
 #include <cardamombay/serving/peer_clocks.hpp>
 
@@ -17,7 +17,7 @@
 const EntryId peer("peer");
 const Incarnation life(7);
 const TimePoint start{seconds(1000)};
-/// The peer's machine has been up for less long.
+/// Offset of the peer's clock: its machine booted later.
 constexpr Duration behind = seconds(900);
 
 ClockStamp stampAt(TimePoint now, Incarnation since = life)
@@ -25,7 +25,7 @@
     return {since, readingOf(now) - behind};
 }
 
-/// A question that takes \p there to the peer, and its answer \p back.
+/// Exchanges a question that takes \p there to reach the peer and an answer that takes \p back.
 void exchange(PeerClocks &clocks, TimePoint asked, Duration there, Duration back)
 {
     cr_assert(clocks.isQuestionDue(peer, life, asked));
--- a/tests/serving/roster.cpp
+++ b/tests/serving/roster.cpp
@@ -1,4 +1,4 @@
-// Who the peers are in a fleet that is too large to be told whole.
+// Comparison of rosters in a fleet that is too large to send them whole.
 #include "support/node_fleet.hpp"
 
 #include <cardamombay/serving/roster.hpp>
@@ -37,7 +37,7 @@
     std::printf("500 entry VMs, 8 s after the start: %zu to %zu peers known\n",
                 fleet.peersKnown().first, fleet.peersKnown().second);
     cr_assert_eq(fleet.peersKnown().first, 499);
-    // Those that know fewer than half of the peers list them anew.
+    // Entry VMs that know fewer than half of the peers list them again.
     const auto calls = fleet.storeCalls();
     fleet.pass(seconds(3));
     cr_assert_eq(fleet.peersKnown().first, 499);
@@ -46,7 +46,7 @@
 
 Test(roster, entry_vms_that_ended_are_forgotten_by_all_if_reporters_live)
 {
-    constexpr std::size_t reporters = 6; ///< The large ones.
+    constexpr std::size_t reporters = 6; ///< The large entry VMs.
     constexpr std::size_t ended = 42;
     NodeFleet fleet(66, 3, 2, 2);
     fleet.faults_.lossShare_ = 0.1;
--- a/tests/serving/starts.cpp
+++ b/tests/serving/starts.cpp
@@ -1,4 +1,4 @@
-// What callers get from a process that has just started.
+// Requests that arrive at a process that has just started.
 #include "support/node_fleet.hpp"
 
 #include <criterion/criterion.h>
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// A fleet whose processes have all started again, with one group and a configuration that takes
-/// \p late longer to arrive than the list of endpoints.
+/// A fleet after a restart of all processes, with one group and a configuration that arrives \p
+/// late after the list of endpoints.
 struct RestartedFleet
 {
     explicit RestartedFleet(Duration late)
@@ -35,11 +35,10 @@
 
 } // namespace
 
-/// After all processes had been killed 506 requests were refused within 0.3 s, 214 of them for
-/// good, since each caller comes back once. They waited for the configuration; it was put into
-/// force before it was noted that the store had just confirmed it, so at that moment their keys
-/// counted as not confirmed. The log has configuration-in-force and the refusals with the reason
-/// "keys not confirmed lately" in one millisecond (36.1598 s).
+/// Guards against refusing requests that wait for the configuration. After all processes had been
+/// killed, 506 requests were refused within 0.3 s with "keys not confirmed lately", 214 of them for
+/// good, since each caller retries once. The configuration was applied before its confirmation was
+/// recorded, so for a moment its keys counted as unconfirmed.
 Test(starts, request_that_waited_for_the_configuration_is_not_refused_for_keys_not_confirmed)
 {
     RestartedFleet restarted(milliseconds(60));
@@ -49,8 +48,8 @@
     cr_assert_eq(restarted.sends(), 1);
 }
 
-/// A configuration with 1,850 routes has 338 KB, which take 0.16 s on a link of 20 Mbit/s; the
-/// store sends it to all that start at the same time.
+/// A configuration with 1,850 routes has 338 KB, which take 0.16 s on a link of 20 Mbit/s, and the
+/// store sends it to all processes that start at the same time.
 Test(starts, request_with_time_left_waits_for_a_large_configuration)
 {
     RestartedFleet restarted(milliseconds(600));
--- a/tests/serving/suspension.cpp
+++ b/tests/serving/suspension.cpp
@@ -1,4 +1,4 @@
-// A VM that is suspended for some seconds between any two steps of a request.
+// Suspension of the VM for some seconds between any two steps of a request.
 #include "support/gateway_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Longer than any request's time (5 s) and than the age of a confirmed configuration (4 s).
+/// Exceeds any request's time limit (5 s) and the maximum age of a confirmed configuration (4 s).
 constexpr Duration away = seconds(7);
 
 constexpr auto event = "id: 1\ndata: x\n\n";
 
-/// A request of a stream as far as \p steps of: sent, connected, head, event.
+/// A streaming request suspended after \p steps of: connected, head received, event received.
 struct Suspended
 {
     explicit Suspended(int steps)
@@ -62,7 +62,7 @@
 {
     for (int steps = 0; steps <= 3; ++steps) {
         Suspended one(steps);
-        // The loss of the connection is read before anything else.
+        // The lost connection is handled before anything else.
         one.call_->fail(steps > 0);
         cr_assert_eq(one.bench_.upstream_.calls_.size(), 1, "after %d steps", steps);
         cr_assert(isAnswered(*one.caller_), "after %d steps", steps);
--- a/tests/support/node_fleet.cpp
+++ b/tests/support/node_fleet.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// Pause between two looks of a waiting call for changes.
+/// Polling interval of a waiting call for changes.
 constexpr Duration feedPoll = std::chrono::milliseconds(20);
 
-/// A call that gets no answer fails that long after the time for which the store may wait.
+/// Timeout of a call that gets no answer, beyond the time for which the store may wait.
 constexpr Duration callTimeout = std::chrono::milliseconds(900);
 
 /// The users' bounds for a deployment with 7 entry VMs, and for those with 65 and more.
@@ -246,7 +246,7 @@
 void FleetNode::poll(const platform::ChangeQuery &query, TimePoint until,
                      const Callback<platform::ChangePage> &done)
 {
-    // Also an answer that was on its way.
+    // Applies also to an answer that was already on its way.
     if (isUnanswered(std::max(Duration::zero(), until - fleet_.clock_.now()), done))
         return;
     if (store_.isCutOff_ || isFeedCut_ || fleet_.platform_.faults_.isDown_) {
--- a/tests/support/node_fleet.hpp
+++ b/tests/support/node_fleet.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Many entry VMs' control sides in one process, on a paused clock.
-/// \details Each has a clock of its own with another zero, datagrams that are late, lost and out of
-/// order, and a link to one store in memory. A node may be paused, read its datagrams late, or be
-/// cut off from the store.
+/// \brief Control planes of many entry VMs in one process, on a manual clock.
+/// \details Each has its own clock with an offset, a link to a shared in-memory store, and a
+/// network that delays, loses and reorders datagrams. A node can be paused, read its datagrams
+/// late, or be cut off from the store.
 #pragma once
 
 #include "support/fake_store.hpp"
@@ -21,7 +21,7 @@
 
 namespace cardamombay::support {
 
-/// \brief A clock that is ahead of the fleet's, and stands still with its process.
+/// \brief A clock with an offset to the fleet's, whose timers wait while its process is paused.
 class NodeClock final : public Clock
 {
 public:
@@ -35,7 +35,7 @@
     TimerId schedule(Duration delay, std::function<void()> action) override;
     void cancel(TimerId timer) override { clock_.cancel(timer); }
 
-    /// \brief Runs \p action now, or once the process goes on.
+    /// \brief Runs \p action now, or once the process resumes.
     void run(std::function<void()> action);
     void setPaused(bool isPaused);
 
@@ -46,16 +46,16 @@
     std::vector<std::function<void()>> deferred_;
 };
 
-/// \brief Rows "endpoints", as "domain" or "domain group rank" or "domain group rank cold-ms", and
-/// "config", the latter as "version key key". An endpoint that leaves has drainingMark before its
-/// domain; its availability zone has the name of the domain. Beside the configuration stand rows
-/// "evacuate zone".
+/// \brief Text format of the store's rows.
+/// \details Rows "endpoints" are "domain", "domain group rank" or "domain group rank cold-ms". A
+/// leaving endpoint has drainingMark before its domain; its availability zone has the name of the
+/// domain. The row of "config" is "version key key"; rows "evacuate zone" are in the same table.
 class FleetFormat final : public serving::StoreFormat
 {
 public:
     static constexpr std::string_view drainingMark = "draining";
     static constexpr std::string_view evacuationMark = "evacuate ";
-    /// \brief What a cold endpoint takes, requests a second.
+    /// \brief Request rate that a cold endpoint accepts, per second.
     static constexpr double coldRate = 17;
 
     [[nodiscard]] std::string_view configurationTable() const override { return "config"; }
@@ -69,7 +69,7 @@
                                                      std::string_view text) const override;
 };
 
-/// \brief Where an endpoint of a NodeFleet listens.
+/// \brief Address at which an endpoint of a NodeFleet listens.
 [[nodiscard]] Address engineAddress(const std::string &endpoint);
 
 /// \brief Faults of the network between entry VMs.
@@ -81,11 +81,11 @@
 
 class FleetNode;
 
-/// \brief The entry VMs and what they share.
+/// \brief A fleet of entry VMs, their network and their store.
 class NodeFleet
 {
 public:
-    /// \param large entry VMs of each zone that are large, the first ones.
+    /// \param large number of large entry VMs per zone; they come first.
     NodeFleet(std::size_t entries, std::size_t zones, std::size_t large, std::uint64_t seed);
     ~NodeFleet();
 
@@ -93,32 +93,32 @@
     /// \brief Advances the fleet's clock.
     void pass(Duration time) { clock_.advance(time); }
 
-    /// \brief Lists an endpoint in fabric domain \p domain, or ends it if that is empty.
+    /// \brief Lists an endpoint in fabric domain \p domain, or removes it if \p domain is empty.
     void list(const std::string &endpoint, const std::string &domain);
 
-    /// \brief A listed endpoint says that it leaves.
+    /// \brief Marks a listed endpoint as draining.
     void drain(const std::string &endpoint);
 
     /// \brief Lists an open group of two engines of model "m" whose head is \p head.
-    /// \param coldFor how long the head says that it stays cold.
+    /// \param coldFor remaining time for which the head reports itself as cold.
     void listGroup(const std::string &head, const std::string &domain = "d", Duration coldFor = {});
 
-    /// \brief Operators evacuate a zone, or take that back.
+    /// \brief Evacuates a zone, or revokes its evacuation, as operators do.
     void evacuate(const std::string &zone);
     void takeBack(const std::string &zone);
 
     /// \brief Writes a configuration in which \p keys are valid.
     void configure(std::uint64_t version, const std::vector<std::string> &keys);
 
-    /// \brief Time in which all entry VMs must know of a change.
+    /// \brief Time within which all entry VMs must know of a change.
     [[nodiscard]] Duration newsBound() const;
 
     void deliver(const Address &to, std::string text);
     [[nodiscard]] FleetNode &node(std::size_t index) { return *nodes_[index]; }
     [[nodiscard]] std::size_t size() const { return nodes_.size(); }
-    /// \brief Calls to the store of all nodes.
+    /// \brief Total number of calls of all nodes to the store.
     [[nodiscard]] std::size_t storeCalls() const;
-    /// \brief Peers that a node knows, the fewest and the most of all nodes from \p first on.
+    /// \brief Minimum and maximum number of peers known to a node, over all nodes from \p first on.
     [[nodiscard]] std::pair<std::size_t, std::size_t> peersKnown(std::size_t first = 0);
     /// \brief The node that holds the planner's lease; null if none does.
     [[nodiscard]] FleetNode *planner();
@@ -127,14 +127,16 @@
     FakePlatform platform_{clock_};
     FleetFormat format_;
     DatagramFaults faults_;
-    std::function<void(std::string &)> spoils_; ///< May change each datagram; nothing if empty.
-    RowVersion historyFrom_;                    ///< The store has forgotten the changes before.
-    std::map<std::string, RowVersion> ended_;   ///< Endpoints that are listed no more, since when.
-    std::map<std::string, RowVersion>
-        takenBack_; ///< Rows of evacuations that are gone, since when.
+    std::function<void(std::string &)>
+        spoils_;             ///< If set, called with each datagram; may modify it.
+    RowVersion historyFrom_; ///< The store has no history of earlier changes.
+    /// Removed endpoints and the versions of their removal.
+    std::map<std::string, RowVersion> ended_;
+    /// Rows of revoked evacuations and the versions of their removal.
+    std::map<std::string, RowVersion> takenBack_;
     Random random_;
-    std::size_t datagramsSent_ = 0; ///< By all nodes, lost ones included.
-    std::size_t bytesSent_ = 0;     ///< In these.
+    std::size_t datagramsSent_ = 0; ///< By all nodes, including lost ones.
+    std::size_t bytesSent_ = 0;     ///< Total size of these.
 
 private:
     std::vector<std::unique_ptr<FleetNode>> nodes_;
@@ -152,13 +154,13 @@
     void start(bool isFirstStart);
     void receive(std::string text);
 
-    /// \brief True if it has made a call to the store since \p calls were counted.
+    /// \brief True if it has called the store since storeCalls_ was \p calls.
     [[nodiscard]] bool hasCalledSince(std::size_t calls) const { return storeCalls_ > calls; }
 
-    /// \brief The version of the configuration in force here; none before the first one.
+    /// \brief Version of the configuration in effect here; none before the first one.
     [[nodiscard]] ConfigVersion configuration() const;
 
-    /// \brief True if a request with \p key would be let in now.
+    /// \brief True if a request with \p key would be accepted now.
     [[nodiscard]] bool honours(const std::string &key) const;
 
     /// \name DatagramChannel, TableStore, ChangeFeed
@@ -177,10 +179,10 @@
     Address address_;
     NodeClock clock_;
     FakeTableStore store_;
-    Duration readsLateBy_{};     ///< A datagram waits that long in the queue of this node.
+    Duration readsLateBy_{};     ///< Time that a datagram spends in this node's receive queue.
     bool isFeedCut_ = false;     ///< Calls for changes fail; others reach the store.
-    bool isStoreSilent_ = false; ///< Calls get no answer and fail when their time is over.
-    std::map<std::string, Duration> slowTables_; ///< How much later their listings arrive.
+    bool isStoreSilent_ = false; ///< Calls get no answer and fail by timeout.
+    std::map<std::string, Duration> slowTables_; ///< Additional delay of listings by table.
     std::size_t storeCalls_ = 0;
     FakeDialect dialect_;
     FakeUpstream upstream_;
@@ -196,7 +198,7 @@
 
 private:
     class NoOrders;
-    /// Fails a call of a store that is silent for this node; true if it was one.
+    /// Lets a call time out if the store is silent for this node; true if so.
     template<typename Answer>
     bool isUnanswered(Duration wait, const Callback<Answer> &done);
     void poll(const platform::ChangeQuery &query, TimePoint until,
--- a/tests/support/pausable_node.hpp
+++ b/tests/support/pausable_node.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief A process that can be paused: its timers and answers wait until it wakes.
+/// \brief Simulates a process that can be paused: its timers and answers wait until it resumes.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -14,7 +14,7 @@
 
 namespace cardamombay::support {
 
-/// \brief Clock of one process on the clock of a test; time goes on while it is paused.
+/// \brief Clock of one process, based on the clock of a test; time advances while it is paused.
 class PausableClock final : public Clock
 {
 public:
@@ -44,7 +44,7 @@
         }
     }
 
-    /// \brief Runs \p action now, or when the process wakes.
+    /// \brief Runs \p action now, or when the process resumes.
     void run(const std::function<void()> &action)
     {
         if (isPaused_)
@@ -68,7 +68,7 @@
 private:
     struct Waiting
     {
-        TimerId timer_ = TimerId::None; ///< None for an answer.
+        TimerId timer_ = TimerId::None; ///< None if the action is an answer.
         std::function<void()> action_;
     };
 
@@ -77,7 +77,7 @@
     std::deque<Waiting> waiting_;
 };
 
-/// \brief Table service as a process sees it that may be paused.
+/// \brief Table store as seen by a process that may be paused.
 class PausableStore final : public platform::TableStore
 {
 public:
@@ -87,9 +87,9 @@
     {
     }
 
-    /// \brief Called with each transaction right before it is sent; for races.
+    /// \brief Called with each transaction just before it is sent, to provoke races.
     std::function<void(const platform::Transaction &)> beforeCommit_;
-    bool losesScans_ = false; ///< Scans fail, reads and commits do not.
+    bool losesScans_ = false; ///< Scans fail, while reads and commits work.
 
     void commit(platform::Transaction transaction, Callback<platform::CommitReceipt> done) override
     {
@@ -126,7 +126,7 @@
     platform::TableStore &store_;
 };
 
-/// \brief Control link to endpoint VMs of a process that may be paused.
+/// \brief Control link to endpoint VMs, as seen by a process that may be paused.
 class PausableOrders final : public endpoint::EndpointOrders
 {
 public:
