--- a/include/cardamombay/serving/digest_hub.hpp
+++ b/include/cardamombay/serving/digest_hub.hpp
@@ -50,13 +50,13 @@
 private:
     struct Tokens
     {
-        std::size_t told_ = 0; ///< Last count from the source, since its start.
-        std::size_t seen_ = 0; ///< Increase observed here; never decreases.
+        std::size_t lastCount_ = 0; ///< Last count from the source, since its start.
+        std::size_t observed_ = 0;  ///< Increase observed here; never decreases.
         TimePoint changedAt_{};
     };
     struct Listed
     {
-        PeerSeat seat_;
+        PeerSeat info_;
         TimePoint at_{};
     };
     struct Source
@@ -81,9 +81,9 @@
     PeerSeat self_;
     Incarnation since_;
     std::map<EntryId, Source> sources_;
-    Totals goneZone_;  ///< Tokens of dropped sources of this zone; added in so that sums never
-                       ///< decrease.
-    Totals goneFleet_; ///< The same for sums of other zones.
+    Totals droppedZoneTotals_;  ///< Tokens of dropped sources of this zone; added in so that sums
+                                ///< never decrease.
+    Totals droppedFleetTotals_; ///< The same for sums of other zones.
 };
 
 /// \brief Derives the load of all other entry VMs from the sums of the whole fleet.
@@ -101,7 +101,8 @@
         std::size_t ahead_ = 0;  ///< Own tokens that are not yet part of the sums.
         std::size_t others_ = 0; ///< Tokens of all others; never decreases.
     };
-    [[nodiscard]] std::size_t othersSent(const VmId &endpoint, std::size_t fleet, std::size_t own);
+    [[nodiscard]] std::size_t sentByOthers(const VmId &endpoint, std::size_t fleet,
+                                           std::size_t own);
 
     EntryId from_;
     Incarnation since_;
--- a/include/cardamombay/serving/news_budget.hpp
+++ b/include/cardamombay/serving/news_budget.hpp
@@ -20,12 +20,12 @@
 /// change made then is known after longestGap_, once the others have queried the store themselves.
 struct NewsBudget
 {
-    Duration wait_{};       ///< Maximum time between two confirmations at a watcher.
-    Duration told_{};       ///< From the watchers to all others, allowing for one lost datagram.
-    Duration turns_{};      ///< Period over which the others' first own queries are spread.
-    Duration longestGap_{}; ///< Maximum time between two confirmations at an entry VM that reaches
-                            ///< the store.
-    Duration sparePause_{}; ///< Delay after a change at standby watchers.
+    Duration wait_{};      ///< Maximum time between two confirmations at a watcher.
+    Duration relayTime_{}; ///< From the watchers to all others, allowing for one lost datagram.
+    Duration stagger_{};   ///< Period over which the others' first own queries are spread.
+    Duration maxGap_{};    ///< Maximum time between two confirmations at an entry VM that reaches
+                           ///< the store.
+    Duration standbyPause_{}; ///< Delay after a change at standby watchers.
 };
 
 /// \param bound time within which a change must be known to all entry VMs.
@@ -34,10 +34,10 @@
 
 /// \brief Tracks the newest known confirmation of a table.
 /// \code
-/// if (confirmations.silentFor(now) > budget.wait_ + budget.told_)
+/// if (confirmations.silentFor(now) > budget.wait_ + budget.relayTime_)
 ///     watch.setActive(true);
 /// \endcode
-class ConfirmationTrail
+class ConfirmationTracker
 {
 public:
     /// \param asOf when the store confirmed the state here; may be the same as before, or older.
@@ -46,7 +46,7 @@
     /// \brief Time since a newer confirmation arrived. This differs from the confirmation's age: if
     /// all messages are late, confirmations are old but still advance, and the store need not be
     /// queried.
-    [[nodiscard]] Duration silentFor(TimePoint now) const { return now - since_; }
+    [[nodiscard]] Duration timeSinceUpdate(TimePoint now) const { return now - since_; }
 
     /// \brief Doesn't count the time before \p when as silence.
     void startAt(TimePoint when);
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -65,7 +65,7 @@
     /// \brief Sets the function to call with each configuration that takes effect.
     void onConfiguration(std::function<void(const Configuration &)> action)
     {
-        configured_ = std::move(action);
+        configurationHandler_ = std::move(action);
     }
 
     /// \brief Shuts down: notifies the peers and releases the lease.
@@ -88,84 +88,85 @@
     /// \}
 
 private:
-    void takeConfiguration(std::string_view text, RowVersion row);
-    void partArrived(const ConfigurationPart &part);
+    void applyConfiguration(std::string_view text, RowVersion row);
+    void onConfigurationPart(const ConfigurationPart &part);
     void operatorsListed(const std::vector<platform::Row> &rows);
     void operatorRowChanged(const platform::RowChange &change);
     void evacuationsChanged(const std::set<AvailabilityZone> &before, std::string_view source);
     void zoneEvacuated(const AvailabilityZone &zone, std::string_view source) const;
     void zoneReturned(const AvailabilityZone &zone, std::string_view source);
-    void followConfiguration(const RelayState &relay, const Address &source, TimePoint now);
+    void applyRelayedConfiguration(const RelayState &relay, const Address &source, TimePoint now);
     void endpointsListed(const std::vector<platform::Row> &rows);
-    void takeEndpoint(const platform::RowChange &change);
+    void applyEndpointRow(const platform::RowChange &change);
     [[nodiscard]] std::optional<Endpoint> readEndpoint(const platform::Row &row);
-    void keepWhatIsNewer(Endpoint &endpoint) const;
+    void mergeKnownState(Endpoint &endpoint) const;
     void endpointRestarted(const Endpoint &before);
     void endpointChanged(const EndpointChange &change, std::string_view source);
     void logLeaving(const EndpointChange &change, std::string_view source) const;
     [[nodiscard]] Duration viewAge() const;
-    void relayArrived(const EndpointRelay &relay);
-    [[nodiscard]] bool isWorthLogging(const Endpoint *known, const Endpoint &now) const;
+    void onEndpointRelay(const EndpointRelay &relay);
+    [[nodiscard]] bool shouldLog(const Endpoint *known, const Endpoint &now) const;
     void readQuarantines();
     void quarantinesListed(const std::vector<platform::Row> &rows);
-    void keepQuarantines(TimePoint now);
-    void takePeer(const platform::RowChange &change);
-    void storeAnswered(TimePoint asOf);
+    void syncQuarantines(TimePoint now);
+    void applyPeerRow(const platform::RowChange &change);
+    void noteStoreAnswer(TimePoint asOf);
     [[nodiscard]] StoreTimeline timelineOf(const std::string &table) const;
-    void timelineSeen(StoreTimeline timeline, std::string_view source);
+    void noteTimeline(StoreTimeline timeline, std::string_view source);
     void storeRestored(StoreTimeline before, std::string_view source);
     [[nodiscard]] bool isSettling(TimePoint now) const { return now < settledAt_; }
-    void noteLearning();
+    void updateLearning();
     void announce();
     [[nodiscard]] std::string peerRow() const;
     [[nodiscard]] bool isStandingBy(TimePoint now) const;
     void tickFast();
-    void noteOldView(TimePoint now);
+    void checkViewAge(TimePoint now);
     void logEndpoints(TimePoint now);
     void startLease(TimePoint now);
     void tickPlan();
-    void tellSilence();
-    void tellCrashes();
-    void alarmArrived(const SilenceAlarm &alarm);
+    void sendSilenceAlarm();
+    void reportCrashes();
+    void onSilenceAlarm(const SilenceAlarm &alarm);
     void tickDigest();
     [[nodiscard]] LoadDigest ownDigest(TimePoint now);
-    void tellAll(const LoadDigest &digest);
+    void broadcast(const LoadDigest &digest);
     void report(TimePoint now);
     void setReporter(const std::optional<EntryId> &reporter, bool isNeeded);
     void sendSums(TimePoint now);
-    [[nodiscard]] std::vector<PeerSeat> pageOf(std::vector<PeerSeat> roster) const;
-    void datagramArrived(std::string_view text);
-    bool meet(const PeerSeat &seat, TimePoint now);
-    void digestArrived(LoadDigest digest);
-    void summaryArrived(LoadSummary summary);
-    void takeLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now);
+    [[nodiscard]] std::vector<PeerSeat> rosterPageOf(std::vector<PeerSeat> roster) const;
+    void onDatagram(std::string_view text);
+    bool meet(const PeerSeat &peerInfo, TimePoint now);
+    void onDigest(LoadDigest digest);
+    void onSummary(LoadSummary summary);
+    void recordLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now);
     [[nodiscard]] std::size_t entriesIn(const AvailabilityZone &zone) const;
     [[nodiscard]] std::map<ServiceName, RepeatCounts> othersRepeats() const;
     [[nodiscard]] std::vector<Address> relayTargets() const;
-    void passOn(EndpointRelay relay, const std::vector<Address> &targets);
-    void followRelay(const RelayState &relay, const Address &source, TimePoint now);
-    void followEndpoints(const RelayState &relay, TimePoint now);
-    void ageRelay(LoadDigest &digest, TimePoint now);
-    void clockAsked(const ClockQuestion &question);
+    void sendRelay(EndpointRelay relay, const std::vector<Address> &targets);
+    void applyRelayState(const RelayState &relay, const Address &source, TimePoint now);
+    void applyRelayedEndpoints(const RelayState &relay, TimePoint now);
+    void addTransitTime(LoadDigest &digest, TimePoint now);
+    void onClockQuestion(const ClockQuestion &question);
     void chooseWatches(TimePoint now);
-    [[nodiscard]] Duration ownTurn() const;
-    void setBudget(bool hasReporters);
+    [[nodiscard]] Duration ownWatchDelay() const;
+    void setNewsBudget(bool hasReporters);
     [[nodiscard]] RelayState relayState(TimePoint now) const;
     void peersChanged();
-    void notePeersChanged();
+    void markPeersChanged();
     [[nodiscard]] std::vector<PeerSeat> rosterOf(const AvailabilityZone &zone) const;
     [[nodiscard]] const RosterSums &rosterSums(const AvailabilityZone &zone);
-    [[nodiscard]] std::vector<PeerSeat> statedRoster(const AvailabilityZone &zone,
-                                                     TimePoint now) const;
-    [[nodiscard]] bool answersForZone(TimePoint now) const;
-    [[nodiscard]] std::uint64_t statedTotal(const AvailabilityZone &zone, TimePoint now) const;
+    [[nodiscard]] std::vector<PeerSeat> authoritativeRoster(const AvailabilityZone &zone,
+                                                            TimePoint now) const;
+    [[nodiscard]] bool isRosterAuthority(TimePoint now) const;
+    [[nodiscard]] std::uint64_t authoritativeTotal(const AvailabilityZone &zone,
+                                                   TimePoint now) const;
     [[nodiscard]] bool isRosterSource(const EntryId &from, const AvailabilityZone &zone) const;
-    void followRoster(const LoadSummary &summary, TimePoint now);
-    void rosterAsked(const RosterQuestion &question);
-    void rosterArrived(const RosterAnswer &answer);
-    void takeBucket(const RosterBucket &bucket, const AvailabilityZone &zone, TimePoint now);
-    void lookForPeers(TimePoint now);
-    void forgetSilent(TimePoint now);
+    void compareRoster(const LoadSummary &summary, TimePoint now);
+    void onRosterQuestion(const RosterQuestion &question);
+    void onRosterAnswer(const RosterAnswer &answer);
+    void applyBucket(const RosterBucket &bucket, const AvailabilityZone &zone, TimePoint now);
+    void relistPeersIfDue(TimePoint now);
+    void dropSilentPeers(TimePoint now);
     [[nodiscard]] std::map<ModelName, double> fleetDemand() const;
     void takeDemand();
     void repeat(Duration period, void (Node::*step)());
@@ -179,10 +180,10 @@
         std::map<ServiceName, RepeatCounts> repeats_; ///< Received directly from the peer.
         TimePoint heardAt_{};
     };
-    [[nodiscard]] TimePoint lastWordOf(const Peer &peer) const;
+    [[nodiscard]] TimePoint lastConfirmedAt(const Peer &peer) const;
 
     /// Progress of comparing the known peers with those of another entry VM.
-    struct RosterFollow
+    struct RosterComparison
     {
         TimePoint confirmedAt_{}; ///< When the other side last had the same peers.
         std::optional<TimePoint> differsSince_;
@@ -201,23 +202,23 @@
     static constexpr auto quarantineTable = "quarantine";
     /// Entry VMs that start together have all written their rows by then; later ones announce
     /// themselves by their digests.
-    static constexpr Duration startPhase = std::chrono::milliseconds(700);
+    static constexpr Duration startupPeriod = std::chrono::milliseconds(700);
     /// Endpoints whose entries lapsed while the store was unavailable write them again within about
     /// two seconds.
-    static constexpr Duration absenceGrace = std::chrono::milliseconds(1900);
+    static constexpr Duration absenceGracePeriod = std::chrono::milliseconds(1900);
 
     NodeParts parts_;
     NodeSettings settings_;
-    NewsBudget news_; ///< Time limit of each step in which a change of the store spreads.
+    NewsBudget newsBudget_; ///< Time limit of each step in which a change of the store spreads.
     StoreWatch configurationWatch_;
     StoreWatch endpointWatch_;
     StoreWatch peerWatch_;
     StoreWatch quarantineWatch_;
-    std::function<void(const Configuration &)> configured_;
+    std::function<void(const Configuration &)> configurationHandler_;
     std::map<EntryId, Peer> peers_;
     std::map<EntryId, TimePoint> leftAt_;
     PeerClocks clocks_;
-    SendBudget budget_; ///< Bandwidth limit for data relayed to peers.
+    SendBudget sendBudget_; ///< Bandwidth limit for data relayed to peers.
     ConfigurationExchange exchange_;
     Evacuations evacuations_;
     ChangeHistory history_;    ///< Recent changes of endpoints.
@@ -228,54 +229,56 @@
     std::optional<EntryId> reporter_; ///< Destination of digests; none if they go to all peers or
                                       ///< this entry VM is the reporter.
     /// By zone; the empty zone stands for the whole fleet.
-    std::map<AvailabilityZone, RosterFollow> rosterFollows_;
+    std::map<AvailabilityZone, RosterComparison> rosterComparisons_;
     /// Hashes of the current peers, computed on demand.
     std::map<AvailabilityZone, RosterSums> rosterSums_;
-    bool arePeersOther_ = false; ///< The peers have changed since duties were last assigned.
-    TimePoint reportsSince_{};   ///< When the current reporter, or the lack of one, was set.
+    bool havePeersChanged_ = false; ///< The peers have changed since duties were last assigned.
+    TimePoint reportsSince_{};      ///< When the current reporter, or the lack of one, was set.
     /// The fleet is too large for every entry VM to send digests to every other.
     bool hasReporters_ = false;
-    LoadDigest told_; ///< The last digest sent.
+    LoadDigest lastDigest_; ///< The last digest sent.
     std::map<EntryId, Sum> sums_;
     std::vector<EntryId> planners_; ///< Entry VMs that may hold the planner's lease.
-    std::vector<VmId> alarmed_;     ///< Stalled endpoints that the planners have been alerted to.
+    std::vector<VmId>
+        alarmedEndpoints_; ///< Stalled endpoints that the planners have been alerted to.
     std::size_t sumsSent_ = 0;
-    std::size_t mostPeers_ = 0; ///< Maximum since the peers were last listed.
+    std::size_t maxPeers_ = 0;  ///< Maximum since the peers were last listed.
     TimePoint peersListedAt_{}; ///< Last listing, not counting the one at the start.
-    ConfirmationTrail configurationTrail_;
-    ConfirmationTrail endpointTrail_;
-    std::size_t dutyPlace_ = 0; ///< Position of this entry VM among all, in the order of duties.
+    ConfirmationTracker configurationTracker_;
+    ConfirmationTracker endpointTracker_;
+    std::size_t dutyPosition_ = 0; ///< Position of this entry VM among all, in the order of duties.
     std::optional<std::uint32_t> rank_; ///< Position among the entry VMs that watch the store for
                                         ///< all; none if it is not one of them.
-    TimePoint relayHeardAt_{};  ///< Last message from an entry VM that confirms data of the store.
-    TimePoint configAskedAt_{}; ///< Last query to the store for a version that a peer has.
-    RowVersion heardVersion_;   ///< Version of the newest change of an endpoint that a peer has.
-    TimePoint behindSince_{};   ///< When changes were first found missing; the epoch if none are.
-    TimePoint storeAnsweredAt_{};           ///< Latest known answer of the store to any entry VM.
+    TimePoint
+        relayReceivedAt_{}; ///< Last message from an entry VM that confirms data of the store.
+    TimePoint configQueriedAt_{}; ///< Last query to the store for a version that a peer has.
+    RowVersion peerVersion_;      ///< Version of the newest change of an endpoint that a peer has.
+    TimePoint behindSince_{};     ///< When changes were first found missing; the epoch if none are.
+    TimePoint storeAnsweredAt_{}; ///< Latest known answer of the store to any entry VM.
     std::optional<StoreTimeline> timeline_; ///< Latest known timeline of the store.
-    std::size_t timelinesRefused_ = 0;
+    std::size_t rejectedTimelines_ = 0;
     /// Until then the store may lack rows that were written before it was restored.
     TimePoint settledAt_{};
     TimePoint startedAt_{};
     /// When the lease was acquired; the current time while it is not held.
-    TimePoint plansSince_{};
+    TimePoint leaseHeldSince_{};
     TimePoint standbyUntil_{}; ///< Until then this entry VM does not compete for the lease.
     std::map<ModelName, double> ownDemand_; ///< Smoothed demand here, in groups' worth of work.
     TimePoint demandAt_{};
-    bool hasCrashNews_ = false; ///< An endpoint ended here since the last report.
+    bool hasUnreportedCrash_ = false; ///< An endpoint ended here since the last report.
     TimePoint reportedAt_{};
     /// Quarantines in the store, as far as this entry VM knows; the planner maintains them.
-    std::set<RequestFingerprint> keptQuarantines_;
-    bool isKeeping_ = false; ///< A write of quarantines is in progress.
+    std::set<RequestFingerprint> storedQuarantines_;
+    bool isWritingQuarantines_ = false; ///< A write of quarantines is in progress.
     TimePoint quarantinesListedAt_{};
     bool areEndpointsListed_ = false;
     bool isLeaving_ = false;
     bool isWatching_ = false;
     bool isLeaseStarted_ = false;
-    std::set<VmId> refused_; ///< Endpoints whose latest entries could not be parsed.
+    std::set<VmId> unreadableEndpoints_; ///< Endpoints whose latest entries could not be parsed.
     /// Entries of endpoints received since the last summary line in the log.
-    std::size_t listedCount_ = 0;
-    std::size_t goneCount_ = 0; ///< Endpoints that ended since then.
+    std::size_t entryCount_ = 0;
+    std::size_t removedCount_ = 0; ///< Endpoints that ended since then.
     TimePoint endpointsLoggedAt_{};
     bool wasReady_ = false;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
--- a/include/cardamombay/serving/peer_clocks.hpp
+++ b/include/cardamombay/serving/peer_clocks.hpp
@@ -84,12 +84,12 @@
     {
         Incarnation since_;
         bool isAnswered_ = false;
-        Duration ahead_{};       ///< Lower bound of the own clock minus the peer's.
+        Duration offset_{};      ///< Lower bound of the own clock minus the peer's.
         TimePoint answeredAt_{}; ///< Time of the answer that the bound comes from.
         TimePoint askedAt_{};
     };
 
-    [[nodiscard]] static Duration aheadAt(const Known &known, TimePoint now);
+    [[nodiscard]] static Duration offsetAt(const Known &known, TimePoint now);
 
     std::map<EntryId, Known> known_;
 };
--- a/include/cardamombay/serving/reporters.hpp
+++ b/include/cardamombay/serving/reporters.hpp
@@ -23,7 +23,7 @@
     /// Up to this fleet size digests go directly to all entry VMs: 16 digests every 100 ms cost an
     /// entry VM less than a hundredth of a core, and the data is half as old as by way of
     /// reporters.
-    static constexpr std::size_t mostDirect = 16;
+    static constexpr std::size_t maxDirectFleetSize = 16;
 
     Reporters(EntryId self, AvailabilityZone zone);
 
@@ -33,7 +33,7 @@
                   const std::map<EntryId, EntryCapacity> &capacities = {});
 
     /// \brief True if the fleet is too large for every entry VM to send digests to every other.
-    [[nodiscard]] bool areNeeded() const { return peerCount_ + 1 > mostDirect; }
+    [[nodiscard]] bool areNeeded() const { return peerCount_ + 1 > maxDirectFleetSize; }
 
     /// \brief The reporter of this zone; none if it is this entry VM.
     [[nodiscard]] std::optional<EntryId> own(TimePoint now) const;
@@ -56,9 +56,9 @@
     std::size_t peerCount_ = 0;
     /// All members of each zone, by rank.
     std::map<AvailabilityZone, std::vector<EntryId>> ranked_;
-    std::map<EntryId, TimePoint> passedOverUntil_;
-    EntryId awaited_;     ///< The reporter whose sums are expected.
-    TimePoint heardAt_{}; ///< Its last sum, or when it became the reporter.
+    std::map<EntryId, TimePoint> skippedUntil_;
+    EntryId awaitedReporter_; ///< The reporter whose sums are expected.
+    TimePoint heardAt_{};     ///< Its last sum, or when it became the reporter.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/roster.hpp
+++ b/include/cardamombay/serving/roster.hpp
@@ -31,7 +31,7 @@
     static constexpr std::size_t bucketCount = 256;
     using Buckets = std::bitset<bucketCount>;
 
-    explicit RosterSums(std::span<const PeerSeat> seats = {});
+    explicit RosterSums(std::span<const PeerSeat> members = {});
 
     [[nodiscard]] static std::size_t bucketOf(const EntryId &entry);
 
@@ -67,7 +67,7 @@
 struct RosterBucket
 {
     std::size_t index_ = 0;
-    std::vector<PeerSeat> seats_;
+    std::vector<PeerSeat> members_;
 
     friend bool operator==(const RosterBucket &, const RosterBucket &) = default;
 };
@@ -83,10 +83,10 @@
     friend bool operator==(const RosterAnswer &, const RosterAnswer &) = default;
 };
 
-/// \brief Answers \p question from \p seats, split into parts that fit into datagrams; at least one
-/// part.
+/// \brief Answers \p question from \p members, split into parts that fit into datagrams; at least
+/// one part.
 [[nodiscard]] std::vector<RosterAnswer>
-answerTo(const RosterQuestion &question, const EntryId &from, std::span<const PeerSeat> seats);
+answerTo(const RosterQuestion &question, const EntryId &from, std::span<const PeerSeat> members);
 
 /// \name JSON-RPC notifications
 /// \{
--- a/src/serving/digest_hub.cpp
+++ b/src/serving/digest_hub.cpp
@@ -13,10 +13,10 @@
 
 /// Drops an entry VM of another zone that its reporter hasn't listed in two cycles through its
 /// roster.
-constexpr Duration listedFor = std::chrono::seconds(2);
+constexpr Duration rosterEntryLifetime = std::chrono::seconds(2);
 
 /// Each count is repeated in several sums, so that losing one does no harm.
-constexpr Duration toldFor = std::chrono::milliseconds(1200);
+constexpr Duration countRepeatTime = std::chrono::milliseconds(1200);
 
 /// Keeps the newest version and most recent confirmation of each part.
 void mergeRelay(std::optional<RelayState> &into, RelayState relay)
@@ -41,7 +41,7 @@
         into->evacuations_ = std::move(relay.evacuations_);
 }
 
-PeerSeat seatOf(const LoadDigest &digest)
+PeerSeat peerInfoOf(const LoadDigest &digest)
 {
     return {digest.from_, digest.address_, digest.zone_, digest.capacity_};
 }
@@ -86,8 +86,8 @@
 {
     take(summary.sum_, true, now);
     auto &roster = sources_[summary.sum_.from_].roster_;
-    for (const auto &seat : summary.roster_)
-        roster[seat.entry_] = {seat, now};
+    for (const auto &info : summary.roster_)
+        roster[info.entry_] = {info, now};
 }
 
 void DigestHub::take(const LoadDigest &digest, bool isZone, TimePoint now)
@@ -97,11 +97,11 @@
         const auto [place, isNew] = source.sent_.try_emplace(endpoint);
         auto &tokens = place->second;
         // Tokens in the first digest may have been sent long ago.
-        if (!isNew && told > tokens.told_) {
-            tokens.seen_ += told - tokens.told_;
+        if (!isNew && told > tokens.lastCount_) {
+            tokens.observed_ += told - tokens.lastCount_;
             tokens.changedAt_ = now;
         }
-        tokens.told_ = told;
+        tokens.lastCount_ = told;
     }
     source.last_ = digest;
     source.isZone_ = isZone;
@@ -114,7 +114,7 @@
         const auto &source = one.second;
         if (now - source.heardAt_ <= sourceLifetime)
             return false;
-        add(source.isZone_ ? goneFleet_ : goneZone_, source);
+        add(source.isZone_ ? droppedFleetTotals_ : droppedZoneTotals_, source);
         return true;
     });
 }
@@ -123,7 +123,7 @@
 {
     for (const auto &[endpoint, tokens] : source.sent_) {
         auto &total = totals[endpoint];
-        total.tokens_ += tokens.seen_;
+        total.tokens_ += tokens.observed_;
         total.changedAt_ = std::max(total.changedAt_, tokens.changedAt_);
     }
 }
@@ -133,7 +133,7 @@
     std::vector<PeerSeat> result;
     for (const auto &[entry, source] : sources_) {
         if (!source.isZone_ && entry != self_.entry_)
-            result.push_back(seatOf(source.last_));
+            result.push_back(peerInfoOf(source.last_));
     }
     return result;
 }
@@ -143,12 +143,12 @@
     std::vector<PeerSeat> result;
     for (const auto &[entry, source] : sources_) {
         if (!source.isZone_) {
-            result.push_back(seatOf(source.last_));
+            result.push_back(peerInfoOf(source.last_));
             continue;
         }
         for (const auto &[name, listed] : source.roster_) {
-            if (withZones && now - listed.at_ < listedFor)
-                result.push_back(listed.seat_);
+            if (withZones && now - listed.at_ < rosterEntryLifetime)
+                result.push_back(listed.info_);
         }
     }
     return result;
@@ -175,9 +175,9 @@
     sum.zone_ = self_.zone_;
     sum.capacity_ = self_.capacity_;
     sum.stamp_ = {since_, readingOf(now)};
-    auto totals = goneZone_;
+    auto totals = droppedZoneTotals_;
     if (withZones) {
-        for (const auto &[endpoint, total] : goneFleet_) {
+        for (const auto &[endpoint, total] : droppedFleetTotals_) {
             totals[endpoint].tokens_ += total.tokens_;
             totals[endpoint].changedAt_ = std::max(totals[endpoint].changedAt_, total.changedAt_);
         }
@@ -204,7 +204,7 @@
         }
     }
     for (const auto &[endpoint, total] : totals) {
-        if (total.tokens_ > 0 && now - total.changedAt_ < toldFor)
+        if (total.tokens_ > 0 && now - total.changedAt_ < countRepeatTime)
             sum.sent_.emplace(endpoint, total.tokens_);
     }
     std::sort(sum.silent_.begin(), sum.silent_.end());
@@ -239,12 +239,12 @@
     }
     for (auto &[endpoint, tokens] : result.sent_) {
         const auto own = told.sent_.find(endpoint);
-        tokens = othersSent(endpoint, tokens, own == told.sent_.end() ? 0 : own->second);
+        tokens = sentByOthers(endpoint, tokens, own == told.sent_.end() ? 0 : own->second);
     }
     return result;
 }
 
-std::size_t FleetReader::othersSent(const VmId &endpoint, std::size_t fleet, std::size_t own)
+std::size_t FleetReader::sentByOthers(const VmId &endpoint, std::size_t fleet, std::size_t own)
 {
     const auto [place, isNew] = sent_.try_emplace(endpoint);
     auto &sent = place->second;
--- a/src/serving/duty_order.cpp
+++ b/src/serving/duty_order.cpp
@@ -11,7 +11,7 @@
 
 /// VMs with at least this share of the greatest capacity count as large. It keeps VMs of one kind
 /// together even if their settings give slightly different figures.
-constexpr double largeShare = 0.5;
+constexpr double largeCapacityShare = 0.5;
 
 } // namespace
 
@@ -24,7 +24,7 @@
     std::vector<EntryId> large;
     std::vector<EntryId> small;
     for (const auto &[entry, capacity] : capacities)
-        (capacity >= greatest * largeShare ? large : small).push_back(entry);
+        (capacity >= greatest * largeCapacityShare ? large : small).push_back(entry);
     auto result = rendezvousOrder(duty, std::move(large));
     const auto rest = rendezvousOrder(duty, std::move(small));
     result.insert(result.end(), rest.begin(), rest.end());
--- a/src/serving/news_budget.cpp
+++ b/src/serving/news_budget.cpp
@@ -13,41 +13,42 @@
 constexpr Duration digestJitter = std::chrono::milliseconds(100);
 /// From an entry VM to its reporter, to another zone's reporter and to its members; one of them may
 /// fail meanwhile.
-constexpr int hopsOfSums = 4;
+constexpr int reporterHops = 4;
 
 /// Period over which the entry VMs of a large fleet begin to query the store. Most of them never
 /// do, since the first ones relay what they learn.
-constexpr Duration turnsOfLargeFleet = std::chrono::milliseconds(400);
+constexpr Duration largeFleetStagger = std::chrono::milliseconds(400);
 
 /// Time until the next check of the confirmations, plus one call to the store.
-constexpr Duration ownCall = std::chrono::milliseconds(200);
+constexpr Duration ownQueryTime = std::chrono::milliseconds(200);
 
 /// Bounds of the wait in a call for changes. Each call costs, and only confirms the same state; but
 /// its answer also shows whether the store is available.
-constexpr Duration longestWait = std::chrono::milliseconds(1500);
-constexpr Duration leastWait = std::chrono::milliseconds(400);
+constexpr Duration maxWait = std::chrono::milliseconds(1500);
+constexpr Duration minWait = std::chrono::milliseconds(400);
 
 /// Delay of standby watchers after a change, as a share of the bound.
-constexpr double sparePauseShare = 0.25;
+constexpr double standbyPauseShare = 0.25;
 
 } // namespace
 
 NewsBudget newsBudget(Duration bound, bool hasReporters)
 {
     NewsBudget budget;
-    budget.told_ = digestPeriod * (hasReporters ? hopsOfSums : 1) + digestJitter;
-    budget.turns_ = hasReporters ? turnsOfLargeFleet : Duration::zero();
+    budget.relayTime_ = digestPeriod * (hasReporters ? reporterHops : 1) + digestJitter;
+    budget.stagger_ = hasReporters ? largeFleetStagger : Duration::zero();
     // In the worst case the last confirmation arrives as late as possible; then some entry VMs
     // query the store and relay to the others.
-    const auto steps = budget.told_ + std::max(budget.told_, budget.turns_) + ownCall;
+    const auto steps
+        = budget.relayTime_ + std::max(budget.relayTime_, budget.stagger_) + ownQueryTime;
     const auto usable = fromSeconds(toSeconds(bound) * (1 - reserveShare));
-    budget.wait_ = std::clamp<Duration>(usable - steps, leastWait, longestWait);
-    budget.longestGap_ = budget.wait_ + steps;
-    budget.sparePause_ = fromSeconds(toSeconds(bound) * sparePauseShare);
+    budget.wait_ = std::clamp<Duration>(usable - steps, minWait, maxWait);
+    budget.maxGap_ = budget.wait_ + steps;
+    budget.standbyPause_ = fromSeconds(toSeconds(bound) * standbyPauseShare);
     return budget;
 }
 
-void ConfirmationTrail::note(TimePoint asOf, TimePoint now)
+void ConfirmationTracker::note(TimePoint asOf, TimePoint now)
 {
     // An answer with changes and the one that follows it confirm nearly the same moment.
     if (asOf - asOf_ <= digestPeriod)
@@ -56,7 +57,7 @@
     since_ = now;
 }
 
-void ConfirmationTrail::startAt(TimePoint when)
+void ConfirmationTracker::startAt(TimePoint when)
 {
     since_ = std::max(since_, when);
 }
--- a/src/serving/node.cpp
+++ b/src/serving/node.cpp
@@ -21,29 +21,29 @@
 
 /// Engines write an entry for each step of forming a group; fetching each one separately would
 /// account for most calls to the store.
-constexpr Duration endpointPause = std::chrono::milliseconds(250);
+constexpr Duration watcherPollPause = std::chrono::milliseconds(250);
 /// Shorter at the planner, which needs to see each step of a group before it gives the next order.
-constexpr Duration plannerPause = std::chrono::milliseconds(60);
+constexpr Duration plannerPollPause = std::chrono::milliseconds(60);
 
 /// An entry VM reports that it isn't ready once its configuration has been unconfirmed for that
 /// long.
-constexpr Duration readyUnconfirmed = std::chrono::milliseconds(3500);
+constexpr Duration maxReadyUnconfirmed = std::chrono::milliseconds(3500);
 
 /// Maximum time for which a process counts as starting up: four times the time to load a large
 /// configuration over a small link. Each request also has a limit of its own for this wait.
-constexpr Duration longestLearning = std::chrono::milliseconds(1000);
+constexpr Duration maxLearningTime = std::chrono::milliseconds(1000);
 
 /// A planner whose view of the endpoints is older gives up the lease, as other entry VMs still
 /// receive changes of engines. Less than the age at which it would stop planning anyway, so that
 /// another one takes over sooner.
-constexpr Duration oldView = std::chrono::milliseconds(2000);
+constexpr Duration maxPlannerViewAge = std::chrono::milliseconds(2000);
 /// How long it does not compete for the lease: longer than another entry VM needs to acquire it and
 /// complete a step.
-constexpr Duration standby = std::chrono::seconds(5);
+constexpr Duration standbyDuration = std::chrono::seconds(5);
 
 /// Share of the link that relayed data may use, so that the first listing of all engines doesn't
 /// delay callers and orders or make sums get lost.
-constexpr double sharedLink = 0.25;
+constexpr double relayLinkShare = 0.25;
 constexpr double bytesPerMegabit = 125'000;
 
 } // namespace
@@ -51,15 +51,16 @@
 Node::Node(NodeParts parts, NodeSettings settings)
     : parts_(parts)
     , settings_(std::move(settings))
-    , news_(newsBudget(settings_.newsBound_, false))
+    , newsBudget_(newsBudget(settings_.newsBound_, false))
     , configurationWatch_(parts.clock_, parts.store_, parts.feed_,
-                          {std::string(parts.format_.configurationTable()), news_.wait_, {}}, *this)
-    , endpointWatch_(parts.clock_, parts.store_, parts.feed_,
-                     {std::string(parts.format_.endpointTable()), news_.wait_, endpointPause},
-                     *this)
+                          {std::string(parts.format_.configurationTable()), newsBudget_.wait_, {}},
+                          *this)
+    , endpointWatch_(
+          parts.clock_, parts.store_, parts.feed_,
+          {std::string(parts.format_.endpointTable()), newsBudget_.wait_, watcherPollPause}, *this)
     , peerWatch_(parts.clock_, parts.store_, parts.feed_, {peerTable, {}, {}}, *this)
     , quarantineWatch_(parts.clock_, parts.store_, parts.feed_, {quarantineTable, {}, {}}, *this)
-    , budget_(settings_.linkMegabits_ * bytesPerMegabit * sharedLink)
+    , sendBudget_(settings_.linkMegabits_ * bytesPerMegabit * relayLinkShare)
     , exchange_(parts.datagrams_, settings_.digests_,
                 Random(stableHash(settings_.entry_.text(), settings_.incarnation_.value())))
     , hub_({settings_.entry_, settings_.digests_, settings_.zone_, settings_.capacity()},
@@ -79,7 +80,7 @@
 
 void Node::start()
 {
-    parts_.datagrams_.onReceived([this](std::string_view text) { datagramArrived(text); });
+    parts_.datagrams_.onReceived([this](std::string_view text) { onDatagram(text); });
     parts_.book_.onRestarted([this](const Endpoint &before) { endpointRestarted(before); });
     auto &notices = parts_.gateway_.notices();
     notices.onLeaving([this](const EndpointLife &endpoint) { parts_.book_.markLeaving(endpoint); });
@@ -87,14 +88,14 @@
         [&notices](const EndpointLife &endpoint) { return notices.isLeaving(endpoint); });
     startedAt_ = parts_.clock_.now();
     storeAnsweredAt_ = startedAt_;
-    noteLearning();
+    updateLearning();
     configurationWatch_.start();
     endpointWatch_.start();
     // Peers that start later find this entry VM in the table and are discovered by their first
     // digest.
     peerWatch_.setActive(false);
     readQuarantines();
-    parts_.gateway_.onEndpointCrash([this] { hasCrashNews_ = true; });
+    parts_.gateway_.onEndpointCrash([this] { hasUnreportedCrash_ = true; });
     auto &reservations = parts_.gateway_.reservations();
     reservations.setSelf(settings_.entry_, settings_.digests_);
     reservations.onSend(
@@ -122,12 +123,12 @@
 /// After a restart callers reach the process before it has read the configuration and the
 /// endpoints. A configuration doesn't count as loaded until its confirmation has been recorded,
 /// since its keys would be rejected as unconfirmed.
-void Node::noteLearning()
+void Node::updateLearning()
 {
     const bool knowsAll
         = parts_.gateway_.routes() && areEndpointsListed_
           && parts_.gateway_.unconfirmedFor() <= parts_.gateway_.bounds().longestUnconfirmed_;
-    parts_.gateway_.setLearning(!knowsAll && parts_.clock_.now() - startedAt_ < longestLearning);
+    parts_.gateway_.setLearning(!knowsAll && parts_.clock_.now() - startedAt_ < maxLearningTime);
 }
 
 void Node::announce()
@@ -159,25 +160,25 @@
     parts_.lease_.release();
     parts_.gateway_.reservations().leave();
     announce();
-    tellAll(ownDigest(parts_.clock_.now()));
+    broadcast(ownDigest(parts_.clock_.now()));
 }
 
 bool Node::isReady() const
 {
     return !isLeaving_ && parts_.gateway_.routes() && areEndpointsListed_
-           && parts_.gateway_.unconfirmedFor() < readyUnconfirmed;
+           && parts_.gateway_.unconfirmedFor() < maxReadyUnconfirmed;
 }
 
 void Node::tableListed(const std::string &table, const std::vector<platform::Row> &rows)
 {
-    timelineSeen(timelineOf(table), "store");
+    noteTimeline(timelineOf(table), "store");
     if (table == parts_.format_.configurationTable()) {
         operatorsListed(rows);
         return;
     }
     if (table == peerTable) {
         for (const auto &row : rows)
-            takePeer({row, false});
+            applyPeerRow({row, false});
         peersChanged();
         startLease(parts_.clock_.now());
         return;
@@ -197,15 +198,15 @@
         return;
     }
     if (key.table_ == peerTable) {
-        takePeer(change);
-        notePeersChanged();
+        applyPeerRow(change);
+        markPeersChanged();
         return;
     }
-    takeEndpoint(change);
+    applyEndpointRow(change);
 }
 
 /// \param row version of the row that holds it; none if it came from a peer.
-void Node::takeConfiguration(std::string_view text, RowVersion row)
+void Node::applyConfiguration(std::string_view text, RowVersion row)
 {
     auto configuration = parts_.format_.configuration(text);
     if (!isOk(configuration)) {
@@ -230,12 +231,12 @@
     exchange_.setCurrent(version, std::string(text));
     parts_.gateway_.coldEndpoints().setServices(valueOf(configuration).services_);
     parts_.gateway_.setRoutes(std::make_shared<RouteTable>(valueOf(std::move(configuration))));
-    noteLearning();
-    if (configured_)
-        configured_(parts_.gateway_.routes()->configuration());
+    updateLearning();
+    if (configurationHandler_)
+        configurationHandler_(parts_.gateway_.routes()->configuration());
 }
 
-void Node::takePeer(const platform::RowChange &change)
+void Node::applyPeerRow(const platform::RowChange &change)
 {
     const EntryId entry(change.row_.key_.key_);
     if (entry == settings_.entry_)
@@ -260,9 +261,9 @@
            + std::to_string(settings_.capacity());
 }
 
-void Node::notePeersChanged()
+void Node::markPeersChanged()
 {
-    arePeersOther_ = true;
+    havePeersChanged_ = true;
     rosterSums_.clear();
 }
 
@@ -270,7 +271,7 @@
 /// changes there were: in a fleet that starts, each entry VM discovers all others within a second.
 void Node::peersChanged()
 {
-    arePeersOther_ = false;
+    havePeersChanged_ = false;
     rosterSums_.clear();
     parts_.gateway_.countPeerUpdate();
     std::map<EntryId, EntryCapacity> capacities{{settings_.entry_, settings_.capacity()}};
@@ -282,7 +283,7 @@
         zones.emplace(entry, peer.zone_);
     }
     planners_ = dutyOrder("planner", capacities);
-    dutyPlace_ = static_cast<std::size_t>(
+    dutyPosition_ = static_cast<std::size_t>(
         std::find(planners_.begin(), planners_.end(), settings_.entry_) - planners_.begin());
     planners_.resize(std::min<std::size_t>(planners_.size(), leases::candidateCount));
     const auto place = std::find(planners_.begin(), planners_.end(), settings_.entry_);
@@ -304,13 +305,13 @@
     if (table == parts_.format_.configurationTable()) {
         if (!isSettling(parts_.clock_.now()))
             parts_.gateway_.confirm(asOf);
-        noteLearning();
+        updateLearning();
     } else if (table == parts_.format_.endpointTable()) {
-        storeAnswered(asOf);
+        noteStoreAnswer(asOf);
         parts_.gateway_.confirmEndpoints(asOf);
         // The store has nothing newer, so a peer that reported a newer version was wrong, or will
         // report it again.
-        heardVersion_ = {};
+        peerVersion_ = {};
     }
 }
 
@@ -326,25 +327,26 @@
 /// had an answer for longer than the longest regular gap between confirmations. That calls of this
 /// entry VM failed, or that it made none for long, says nothing about the store, and would excuse
 /// endpoints that have ended.
-void Node::storeAnswered(TimePoint asOf)
+void Node::noteStoreAnswer(TimePoint asOf)
 {
     const auto gap = asOf - storeAnsweredAt_;
     if (gap <= Duration::zero())
         return;
     storeAnsweredAt_ = asOf;
-    if (gap <= news_.longestGap_)
+    if (gap <= newsBudget_.maxGap_)
         return;
-    log::info(event::absenceExcused, {{"gap-ms", std::to_string(toMilliseconds(gap))},
-                                      {"for-ms", std::to_string(toMilliseconds(absenceGrace))}});
-    parts_.book_.excuseAbsence(asOf + absenceGrace);
+    log::info(event::absenceExcused,
+              {{"gap-ms", std::to_string(toMilliseconds(gap))},
+               {"for-ms", std::to_string(toMilliseconds(absenceGracePeriod))}});
+    parts_.book_.excuseAbsence(asOf + absenceGracePeriod);
 }
 
 void Node::tickFast()
 {
-    noteLearning();
+    updateLearning();
     parts_.gateway_.sweep();
-    tellSilence();
-    tellCrashes();
+    sendSilenceAlarm();
+    reportCrashes();
     const bool ready = isReady();
     if (std::exchange(wasReady_, ready) != ready)
         log::info(
@@ -360,19 +362,19 @@
 
 /// A planner whose view of the engines lags gives up the lease to another entry VM, since its own
 /// link or CPU may be overloaded. Without peers it continues to plan.
-void Node::noteOldView(TimePoint now)
+void Node::checkViewAge(TimePoint now)
 {
     if (!parts_.lease_.isHeld())
-        plansSince_ = now;
+        leaseHeldSince_ = now;
     // An entry VM that has just acquired the lease is given time to refresh its view.
-    const auto age = now - std::max(parts_.gateway_.endpointsConfirmedAt(), plansSince_);
-    const bool isTooOld = age > oldView && !peers_.empty();
+    const auto age = now - std::max(parts_.gateway_.endpointsConfirmedAt(), leaseHeldSince_);
+    const bool isTooOld = age > maxPlannerViewAge && !peers_.empty();
     if (isTooOld && !isStandingBy(now)) {
-        standbyUntil_ = now + standby;
+        standbyUntil_ = now + standbyDuration;
         log::warning(event::plannerStandsBy,
                      {{"view-age-ms", std::to_string(toMilliseconds(age))},
                       {"epoch", std::to_string(parts_.lease_.epoch().value())},
-                      {"for-ms", std::to_string(toMilliseconds(standby))}});
+                      {"for-ms", std::to_string(toMilliseconds(standbyDuration))}});
         parts_.lease_.setCandidateRank(std::nullopt);
     } else if (standbyUntil_ != TimePoint{} && !isStandingBy(now)) {
         standbyUntil_ = {};
@@ -385,7 +387,7 @@
 /// compete.
 void Node::startLease(TimePoint now)
 {
-    if (isLeaseStarted_ || (settings_.isFirstStart_ && now - startedAt_ < startPhase))
+    if (isLeaseStarted_ || (settings_.isFirstStart_ && now - startedAt_ < startupPeriod))
         return;
     isLeaseStarted_ = true;
     parts_.lease_.start();
@@ -397,7 +399,7 @@
     parts_.book_.expire(now);
     parts_.board_.expire(now);
     clocks_.expire(now);
-    noteOldView(now);
+    checkViewAge(now);
     logEndpoints(now);
     if (!parts_.gateway_.routes() || !areEndpointsListed_)
         return;
@@ -406,10 +408,10 @@
     if (isPlanner || rank_)
         takeDemand();
     // The others receive nearly all changes by relay.
-    const auto watcherPause = rank_ == 0 ? endpointPause : news_.sparePause_;
-    endpointWatch_.setPause(isPlanner ? plannerPause : watcherPause);
+    const auto watcherPause = rank_ == 0 ? watcherPollPause : newsBudget_.standbyPause_;
+    endpointWatch_.setPause(isPlanner ? plannerPollPause : watcherPause);
     if (isPlanner)
-        keepQuarantines(now);
+        syncQuarantines(now);
     // Entries of engines in a restored store may predate their last orders.
     if (isSettling(now))
         return;
--- a/src/serving/node_endpoints.cpp
+++ b/src/serving/node_endpoints.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 /// Maximum number of endpoints with unreadable entries to log; bounds the memory for them.
-constexpr std::size_t mostRefused = 1000;
+constexpr std::size_t maxUnreadableLogged = 1000;
 
 /// Interval between summary lines on endpoints. A line per endpoint at each entry VM would make up
 /// most of the log.
-constexpr Duration endpointsLogPeriod = std::chrono::seconds(1);
+constexpr Duration endpointsLogInterval = std::chrono::seconds(1);
 
 constexpr std::string_view heardFromStore = "store";
 constexpr std::string_view heardFromListing = "listing";
@@ -32,7 +32,7 @@
 {
     const auto now = parts_.clock_.now();
     const auto version = endpointWatch_.version();
-    storeAnswered(now);
+    noteStoreAnswer(now);
     std::vector<Endpoint> endpoints;
     std::set<VmId> listed;
     if (!areEndpointsListed_ || version.timeline() != listedVersion_.timeline())
@@ -44,7 +44,7 @@
         listed.insert(endpoint->id_);
         parts_.gateway_.coldEndpoints().listed(*endpoint);
         if (isSettling(now))
-            keepWhatIsNewer(*endpoint);
+            mergeKnownState(*endpoint);
         if (row.version_ > listedVersion_)
             history_.add({endpoint->id_, row.version_, endpoint}, now);
         endpoints.push_back(*std::move(endpoint));
@@ -62,13 +62,13 @@
     parts_.book_.replaceAll(std::move(endpoints), now);
     listedVersion_ = version;
     areEndpointsListed_ = true;
-    noteLearning();
+    updateLearning();
 }
 
 /// A restored store lists endpoints in a state some seconds old. Known state of the same process
 /// therefore takes precedence until the endpoints have written their entries again, except that an
 /// endpoint that is draining in either remains draining: that flag is never older than the entry.
-void Node::keepWhatIsNewer(Endpoint &endpoint) const
+void Node::mergeKnownState(Endpoint &endpoint) const
 {
     const auto *known = parts_.book_.find(endpoint.id_);
     if (known == nullptr || known->bornAt_ != endpoint.bornAt_)
@@ -80,7 +80,7 @@
 
 /// Planners and candidates log changes that affect where requests may go; only the planner logs the
 /// steps in between, as it acts on them.
-bool Node::isWorthLogging(const Endpoint *known, const Endpoint &now) const
+bool Node::shouldLog(const Endpoint *known, const Endpoint &now) const
 {
     if (!rank_ && !parts_.lease_.isHeld())
         return false;
@@ -93,12 +93,12 @@
     return isServing(*known) != isServing(now);
 }
 
-void Node::takeEndpoint(const platform::RowChange &change)
+void Node::applyEndpointRow(const platform::RowChange &change)
 {
     const auto &row = change.row_;
     EndpointChange result{VmId(row.key_.key_), row.version_, std::nullopt};
     if (change.isRemoved_)
-        refused_.erase(result.id_);
+        unreadableEndpoints_.erase(result.id_);
     else
         result.endpoint_ = readEndpoint(row);
     endpointChanged(result, heardFromStore);
@@ -111,10 +111,10 @@
     const VmId id(row.key_.key_);
     auto endpoint = parts_.format_.endpoint(id, row.value_);
     if (isOk(endpoint)) {
-        refused_.erase(id);
+        unreadableEndpoints_.erase(id);
         return valueOf(std::move(endpoint));
     }
-    if (refused_.size() < mostRefused && refused_.insert(id).second)
+    if (unreadableEndpoints_.size() < maxUnreadableLogged && unreadableEndpoints_.insert(id).second)
         log::warning(event::endpointRefused, {{"endpoint", id.text()},
                                               {"version", std::to_string(row.version_.value())},
                                               {"problem", messageOf(errorOf(endpoint))}});
@@ -155,21 +155,21 @@
     const auto now = parts_.clock_.now();
     logLeaving(change, source);
     // Some entry VM has just received this change from the store.
-    storeAnswered(now);
+    noteStoreAnswer(now);
     history_.add(change, now);
     listedVersion_ = std::max(listedVersion_, change.version_);
     const auto version = std::to_string(change.version_.value());
     if (!change.endpoint_) {
-        ++goneCount_;
+        ++removedCount_;
         if (rank_ || parts_.lease_.isHeld())
             log::info(event::endpointGone, {{"endpoint", change.id_.text()}, {"version", version}});
         parts_.book_.remove(change.id_, now);
         return;
     }
     const auto &endpoint = *change.endpoint_;
-    ++listedCount_;
+    ++entryCount_;
     parts_.gateway_.coldEndpoints().listed(endpoint);
-    if (isWorthLogging(parts_.book_.find(change.id_), endpoint)) {
+    if (shouldLog(parts_.book_.find(change.id_), endpoint)) {
         const auto &membership = endpoint.membership_;
         log::info(event::endpointListed,
                   {{"endpoint", change.id_.text()},
@@ -186,12 +186,12 @@
 
 void Node::logEndpoints(TimePoint now)
 {
-    if (now - endpointsLoggedAt_ < endpointsLogPeriod || listedCount_ + goneCount_ == 0)
+    if (now - endpointsLoggedAt_ < endpointsLogInterval || entryCount_ + removedCount_ == 0)
         return;
     endpointsLoggedAt_ = now;
     log::info(event::endpointsChanged,
-              {{"entries", std::to_string(std::exchange(listedCount_, 0))},
-               {"gone", std::to_string(std::exchange(goneCount_, 0))},
+              {{"entries", std::to_string(std::exchange(entryCount_, 0))},
+               {"gone", std::to_string(std::exchange(removedCount_, 0))},
                {"version", std::to_string(endpointWatch_.version().value())},
                {"view-age-ms", std::to_string(toMilliseconds(viewAge()))}});
 }
--- a/src/serving/node_evacuations.cpp
+++ b/src/serving/node_evacuations.cpp
@@ -21,7 +21,7 @@
     std::set<AvailabilityZone> zones;
     for (const auto &row : rows) {
         if (row.key_.key_ == parts_.format_.configurationKey())
-            takeConfiguration(row.value_, row.version_);
+            applyConfiguration(row.value_, row.version_);
         else if (const auto zone = parts_.format_.evacuatedZone(row.key_.key_))
             zones.insert(*zone);
     }
@@ -36,7 +36,7 @@
     const auto &row = change.row_;
     if (row.key_.key_ == parts_.format_.configurationKey()) {
         if (!change.isRemoved_)
-            takeConfiguration(row.value_, row.version_);
+            applyConfiguration(row.value_, row.version_);
         return;
     }
     const auto zone = parts_.format_.evacuatedZone(row.key_.key_);
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -13,22 +13,22 @@
 namespace {
 
 /// Roster entries per sum. Whole rosters cause bursts whose end a small link drops.
-constexpr std::size_t rosterPage = 8;
+constexpr std::size_t rosterPageSize = 8;
 
 /// A peer that sent nothing for that long is dropped; its next digest adds it again.
 constexpr Duration peerLifetime = std::chrono::seconds(6);
 
 /// Interval at which an entry VM that has lost most of its peers lists them again; each listing is
 /// a call to the store.
-constexpr Duration lostPeersPause = std::chrono::seconds(4);
+constexpr Duration peerRelistInterval = std::chrono::seconds(4);
 
 /// Minimum interval between reports when endpoints end in quick succession. A failing domain ends
 /// dozens within a few milliseconds; a reporter that sent sums to all members for each would
 /// saturate its link.
-constexpr Duration leastReportGap = std::chrono::milliseconds(40);
+constexpr Duration minReportInterval = std::chrono::milliseconds(40);
 
 /// Time constant for smoothing the demand; forming a group takes some seconds.
-constexpr double demandMemorySeconds = 4;
+constexpr double demandSmoothingSeconds = 4;
 
 } // namespace
 
@@ -36,7 +36,7 @@
 {
     const auto now = parts_.clock_.now();
     const double seconds = std::max(0.001, toSeconds(now - std::exchange(demandAt_, now)));
-    const double weight = std::min(1.0, seconds / demandMemorySeconds);
+    const double weight = std::min(1.0, seconds / demandSmoothingSeconds);
     const auto asked = parts_.gateway_.takeDemand();
     for (const auto &[model, work] : asked)
         ownDemand_.emplace(model, 0);
@@ -46,12 +46,12 @@
         demand += (rate - demand) * weight;
     }
     parts_.gateway_.poisonPills().expire(now);
-    if (arePeersOther_)
+    if (havePeersChanged_)
         peersChanged();
     report(now);
-    forgetSilent(now);
+    dropSilentPeers(now);
     chooseWatches(now);
-    lookForPeers(now);
+    relistPeersIfDue(now);
     parts_.gateway_.setOthersRepeats(othersRepeats());
     parts_.clock_.schedule(digestPeriod, [this, alive = std::weak_ptr(isAlive_)] {
         if (!alive.expired())
@@ -85,7 +85,7 @@
     return digest;
 }
 
-void Node::tellAll(const LoadDigest &digest)
+void Node::broadcast(const LoadDigest &digest)
 {
     const auto text = encode(digest);
     for (const auto &[entry, peer] : peers_)
@@ -96,12 +96,12 @@
 void Node::report(TimePoint now)
 {
     reportedAt_ = now;
-    hasCrashNews_ = false;
+    hasUnreportedCrash_ = false;
     hub_.expire(now);
     auto digest = ownDigest(now);
     if (!reporters_.areNeeded()) {
         setReporter(std::nullopt, false);
-        tellAll(digest);
+        broadcast(digest);
         return;
     }
     reporters_.check(now);
@@ -111,7 +111,7 @@
         hub_.take(digest, now);
     else if (const auto found = peers_.find(*reporter); found != peers_.end())
         parts_.datagrams_.send(found->second.address_, encode(digest));
-    told_ = std::move(digest);
+    lastDigest_ = std::move(digest);
     sendSums(now);
 }
 
@@ -125,7 +125,7 @@
     reporter_ = reporter;
     hasReporters_ = isNeeded;
     reportsSince_ = parts_.clock_.now();
-    setBudget(isNeeded);
+    setNewsBudget(isNeeded);
     parts_.board_.forgetPeers();
     sums_.clear();
     for (auto &[entry, peer] : peers_) {
@@ -146,8 +146,8 @@
         return;
     ++sumsSent_;
     auto zone = hub_.zoneSummary(now);
-    zone.roster_ = pageOf(hub_.roster(false, now));
-    zone.rosterTotal_ = statedTotal(settings_.zone_, now);
+    zone.roster_ = rosterPageOf(hub_.roster(false, now));
+    zone.rosterTotal_ = authoritativeTotal(settings_.zone_, now);
     const auto zoneText = encode(zone);
     for (const auto &entry : reporters_.others(now)) {
         if (const auto found = peers_.find(entry); found != peers_.end())
@@ -156,8 +156,8 @@
     if (members.empty())
         return;
     auto fleet = hub_.fleetSummary(now);
-    fleet.roster_ = pageOf(hub_.roster(true, now));
-    fleet.rosterTotal_ = statedTotal({}, now);
+    fleet.roster_ = rosterPageOf(hub_.roster(true, now));
+    fleet.rosterTotal_ = authoritativeTotal({}, now);
     const auto fleetText = encode(fleet);
     // The link's queue drops what exceeds it; rotating the order spreads the losses over all
     // members.
@@ -167,43 +167,43 @@
 
 /// The next few roster entries, so that sums stay small; successive sums cycle through the whole
 /// roster.
-std::vector<PeerSeat> Node::pageOf(std::vector<PeerSeat> roster) const
+std::vector<PeerSeat> Node::rosterPageOf(std::vector<PeerSeat> roster) const
 {
-    if (roster.size() <= rosterPage)
+    if (roster.size() <= rosterPageSize)
         return roster;
     std::vector<PeerSeat> page;
-    for (std::size_t i = 0; i < rosterPage; ++i)
-        page.push_back(roster[(sumsSent_ * rosterPage + i) % roster.size()]);
+    for (std::size_t i = 0; i < rosterPageSize; ++i)
+        page.push_back(roster[(sumsSent_ * rosterPageSize + i) % roster.size()]);
     return page;
 }
 
-void Node::summaryArrived(LoadSummary summary)
+void Node::onSummary(LoadSummary summary)
 {
     const auto now = parts_.clock_.now();
-    ageRelay(summary.sum_, now);
+    addTransitTime(summary.sum_, now);
     parts_.gateway_.takePoisonNews(summary.sum_.poison_);
     parts_.gateway_.limits().take(summary.sum_.limits_, now);
     parts_.gateway_.notices().take(summary.sum_.cooldowns_, now);
     const auto &from = summary.sum_.from_;
     meet({from, summary.sum_.address_, summary.sum_.zone_, summary.sum_.capacity_}, now);
-    for (const auto &seat : summary.roster_)
-        meet(seat, now);
-    followRoster(summary, now);
+    for (const auto &peerInfo : summary.roster_)
+        meet(peerInfo, now);
+    compareRoster(summary, now);
     if (summary.sum_.relay_)
-        followRelay(*summary.sum_.relay_, summary.sum_.address_, now);
+        applyRelayState(*summary.sum_.relay_, summary.sum_.address_, now);
     if (summary.isOfZone_) {
         hub_.take(summary, now);
         if (hasReporters_ && !reporter_)
-            takeLoad(from, summary.sum_, entriesIn(summary.sum_.zone_), now);
+            recordLoad(from, summary.sum_, entriesIn(summary.sum_.zone_), now);
         return;
     }
     reporters_.heard(from, now);
     if (reporter_ == from)
-        takeLoad(from, fleet_.others(summary, told_), peers_.size(), now);
+        recordLoad(from, fleet_.others(summary, lastDigest_), peers_.size(), now);
 }
 
 /// Records the load of several entry VMs, received in one sum.
-void Node::takeLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now)
+void Node::recordLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now)
 {
     sums_[from] = {std::move(sum.demand_), std::move(sum.repeats_), now};
     parts_.board_.setPeerLoad(from.text(),
@@ -236,75 +236,76 @@
     return result;
 }
 
-void Node::datagramArrived(std::string_view text)
+void Node::onDatagram(std::string_view text)
 {
     if (auto digest = decodeLoadDigest(text))
-        digestArrived(*std::move(digest));
+        onDigest(*std::move(digest));
     else if (parts_.gateway_.reservations().take(text))
         return;
     else if (auto summary = decodeLoadSummary(text))
-        summaryArrived(*std::move(summary));
+        onSummary(*std::move(summary));
     else if (const auto wanted = decodeConfigurationWanted(text))
-        exchange_.answer(*wanted, budget_, parts_.clock_.now());
+        exchange_.answer(*wanted, sendBudget_, parts_.clock_.now());
     else if (const auto part = decodeConfigurationPart(text))
-        partArrived(*part);
+        onConfigurationPart(*part);
     else if (const auto alarm = decodeSilenceAlarm(text))
-        alarmArrived(*alarm);
+        onSilenceAlarm(*alarm);
     else if (const auto question = decodeRosterQuestion(text))
-        rosterAsked(*question);
+        onRosterQuestion(*question);
     else if (const auto roster = decodeRosterAnswer(text))
-        rosterArrived(*roster);
+        onRosterAnswer(*roster);
     else if (const auto relay = decodeEndpointRelay(text))
-        relayArrived(*relay);
+        onEndpointRelay(*relay);
     else if (const auto clock = decodeClockQuestion(text))
-        clockAsked(*clock);
+        onClockQuestion(*clock);
     else if (const auto answer = decodeClockAnswer(text))
         clocks_.take(*answer, parts_.clock_.now());
 }
 
 /// Records that a peer is alive.
-/// \returns false if \p seat is this entry VM, one that has just left, or one without an address.
-bool Node::meet(const PeerSeat &seat, TimePoint now)
+/// \returns false if \p peerInfo is this entry VM, one that has just left, or one without an
+/// address.
+bool Node::meet(const PeerSeat &peerInfo, TimePoint now)
 {
-    const auto left = leftAt_.find(seat.entry_);
+    const auto left = leftAt_.find(peerInfo.entry_);
     const bool hasLeft = left != leftAt_.end() && now - left->second < peerLifetime;
-    if (seat.entry_ == settings_.entry_ || seat.address_.ip_.empty() || hasLeft)
+    if (peerInfo.entry_ == settings_.entry_ || peerInfo.address_.ip_.empty() || hasLeft)
         return false;
-    auto &peer = peers_[seat.entry_];
-    const bool isChanged = peer.address_ != seat.address_ || peer.zone_ != seat.zone_
-                           || peer.capacity_ != seat.capacity_;
-    peer.address_ = seat.address_;
-    peer.zone_ = seat.zone_;
-    peer.capacity_ = seat.capacity_;
+    auto &peer = peers_[peerInfo.entry_];
+    const bool isChanged = peer.address_ != peerInfo.address_ || peer.zone_ != peerInfo.zone_
+                           || peer.capacity_ != peerInfo.capacity_;
+    peer.address_ = peerInfo.address_;
+    peer.zone_ = peerInfo.zone_;
+    peer.capacity_ = peerInfo.capacity_;
     peer.heardAt_ = now;
     if (isChanged)
-        notePeersChanged();
+        markPeersChanged();
     return true;
 }
 
-void Node::digestArrived(LoadDigest digest)
+void Node::onDigest(LoadDigest digest)
 {
     const auto now = parts_.clock_.now();
     if (digest.isDraining_) {
         leftAt_[digest.from_] = now;
         if (peers_.erase(digest.from_) > 0)
-            notePeersChanged();
+            markPeersChanged();
         return;
     }
     leftAt_.erase(digest.from_);
     if (!meet({digest.from_, digest.address_, digest.zone_, digest.capacity_}, now))
         return;
     parts_.gateway_.reservations().heard(digest.from_);
-    ageRelay(digest, now);
+    addTransitTime(digest, now);
     parts_.gateway_.takePoisonNews(digest.poison_);
     parts_.gateway_.limits().take(digest.limits_, now);
     parts_.gateway_.notices().take(digest.cooldowns_, now);
     if (digest.relay_)
-        followRelay(*digest.relay_, digest.address_, now);
+        applyRelayState(*digest.relay_, digest.address_, now);
     if (hasReporters_) {
         hub_.take(digest, now);
         if (auto missed = history_.after(digest.endpoints_))
-            passOn(*std::move(missed), {digest.address_});
+            sendRelay(*std::move(missed), {digest.address_});
     }
     if (hasReporters_ && reporter_)
         return; // The reporter's sums include it.
@@ -318,16 +319,16 @@
 
 /// A failed engine blocks all streams of its group, so the planner candidates are alerted at once;
 /// digests would take 0.2 s longer.
-void Node::tellSilence()
+void Node::sendSilenceAlarm()
 {
     auto silent = parts_.board_.silentHere();
     std::sort(silent.begin(), silent.end());
-    const bool isNew
-        = !std::includes(alarmed_.begin(), alarmed_.end(), silent.begin(), silent.end());
-    alarmed_ = std::move(silent);
+    const bool isNew = !std::includes(alarmedEndpoints_.begin(), alarmedEndpoints_.end(),
+                                      silent.begin(), silent.end());
+    alarmedEndpoints_ = std::move(silent);
     if (!isNew)
         return;
-    const auto text = encode(SilenceAlarm{settings_.entry_, alarmed_});
+    const auto text = encode(SilenceAlarm{settings_.entry_, alarmedEndpoints_});
     for (const auto &entry : planners_) {
         if (const auto found = peers_.find(entry); found != peers_.end())
             parts_.datagrams_.send(found->second.address_, text);
@@ -336,15 +337,15 @@
 
 /// The sooner peers know which requests were in flight at an endpoint that ended, the fewer
 /// endpoints the same request can end.
-void Node::tellCrashes()
+void Node::reportCrashes()
 {
     const auto now = parts_.clock_.now();
-    if (hasCrashNews_ && now - reportedAt_ >= leastReportGap)
+    if (hasUnreportedCrash_ && now - reportedAt_ >= minReportInterval)
         report(now);
 }
 
 /// Expires like other load, by when digests or sums of the sender report the stalled endpoints too.
-void Node::alarmArrived(const SilenceAlarm &alarm)
+void Node::onSilenceAlarm(const SilenceAlarm &alarm)
 {
     LoadBoard::PeerLoad load;
     load.silent_ = alarm.silent_;
@@ -357,35 +358,35 @@
 /// Lists the peers again. At the first start of the system this finds entry VMs that started later.
 /// Later on it serves an entry VM that has lost most of its peers, to which nobody else might send
 /// anything.
-void Node::lookForPeers(TimePoint now)
+void Node::relistPeersIfDue(TimePoint now)
 {
-    mostPeers_ = std::max(mostPeers_, peers_.size());
+    maxPeers_ = std::max(maxPeers_, peers_.size());
     const bool isFirst = settings_.isFirstStart_ && peersListedAt_ == TimePoint{};
     const bool isDue
-        = isFirst ? now - startedAt_ > startPhase
-                  : peers_.size() * 2 < mostPeers_ && now - peersListedAt_ > lostPeersPause;
+        = isFirst ? now - startedAt_ > startupPeriod
+                  : peers_.size() * 2 < maxPeers_ && now - peersListedAt_ > peerRelistInterval;
     if (!isDue)
         return;
     peersListedAt_ = now;
-    mostPeers_ = peers_.size();
+    maxPeers_ = peers_.size();
     peerWatch_.start();
 }
 
 /// Drops peers and sums that were not updated lately.
-void Node::forgetSilent(TimePoint now)
+void Node::dropSilentPeers(TimePoint now)
 {
     std::erase_if(sums_, [now](const auto &one) { return now - one.second.at_ > peerLifetime; });
     // As long as the reporter has the same peers, none of them can be silent.
-    const auto fleet = rosterFollows_.find({});
-    if (reporter_ && fleet != rosterFollows_.end()
+    const auto fleet = rosterComparisons_.find({});
+    if (reporter_ && fleet != rosterComparisons_.end()
         && now - fleet->second.confirmedAt_ <= peerLifetime)
         return;
     const auto forgotten = std::erase_if(peers_, [this, now](const auto &one) {
         return now - one.second.heardAt_ > peerLifetime
-               && now - lastWordOf(one.second) > peerLifetime;
+               && now - lastConfirmedAt(one.second) > peerLifetime;
     });
     if (forgotten > 0)
-        notePeersChanged();
+        markPeersChanged();
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/node_quarantines.cpp
+++ b/src/serving/node_quarantines.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 /// Writes per transaction; the store accepts up to a hundred.
-constexpr std::size_t mostWrites = 50;
+constexpr std::size_t maxWritesPerTransaction = 50;
 
 /// Interval at which the planner checks for quarantines that operators have lifted; each check is a
 /// call to the store.
-constexpr Duration liftedPeriod = std::chrono::seconds(30);
+constexpr Duration liftedCheckInterval = std::chrono::seconds(30);
 
 std::string textOf(const std::vector<EndpointLife> &endpoints)
 {
@@ -50,7 +50,7 @@
             listed.insert(*request);
     }
     const auto inForce = pills.quarantined(now);
-    for (const auto &request : keptQuarantines_) {
+    for (const auto &request : storedQuarantines_) {
         if (listed.contains(request) || !inForce.contains(request))
             continue;
         log::info(event::quarantineLifted, {{"fingerprint", request.text()}, {"by", "operator"}});
@@ -61,48 +61,48 @@
             pills.restore(request, now);
     }
     quarantinesListedAt_ = now;
-    keptQuarantines_ = std::move(listed);
+    storedQuarantines_ = std::move(listed);
 }
 
 /// Run by the planner: writes quarantines that are missing in the store and deletes those that have
 /// ended.
-void Node::keepQuarantines(TimePoint now)
+void Node::syncQuarantines(TimePoint now)
 {
-    if (isKeeping_ || quarantinesListedAt_ == TimePoint{})
+    if (isWritingQuarantines_ || quarantinesListedAt_ == TimePoint{})
         return;
     const auto inForce = parts_.gateway_.poisonPills().quarantined(now);
     platform::Transaction transaction;
-    auto kept = keptQuarantines_;
+    auto kept = storedQuarantines_;
     for (const auto &[request, endpoints] : inForce) {
-        if (!kept.contains(request) && transaction.writes_.size() < mostWrites) {
+        if (!kept.contains(request) && transaction.writes_.size() < maxWritesPerTransaction) {
             transaction.writes_.push_back({{quarantineTable, request.text()}, textOf(endpoints)});
             kept.insert(request);
         }
     }
-    for (const auto &request : keptQuarantines_) {
-        if (!inForce.contains(request) && transaction.writes_.size() < mostWrites) {
+    for (const auto &request : storedQuarantines_) {
+        if (!inForce.contains(request) && transaction.writes_.size() < maxWritesPerTransaction) {
             transaction.writes_.push_back({{quarantineTable, request.text()}, std::nullopt});
             kept.erase(request);
         }
     }
     if (transaction.writes_.empty()) {
-        if (!keptQuarantines_.empty() && now - quarantinesListedAt_ > liftedPeriod) {
+        if (!storedQuarantines_.empty() && now - quarantinesListedAt_ > liftedCheckInterval) {
             quarantinesListedAt_ = now;
             quarantineWatch_.start();
         }
         return;
     }
-    isKeeping_ = true;
+    isWritingQuarantines_ = true;
     transaction.writer_ = WriterToken(settings_.entry_.text() + ".quarantine."
                                       + std::to_string(toMilliseconds(now.time_since_epoch())));
     parts_.store_.commit(std::move(transaction), [this, alive = std::weak_ptr(isAlive_),
                                                   kept = std::move(kept)](const auto &result) {
         if (alive.expired())
             return;
-        isKeeping_ = false;
+        isWritingQuarantines_ = false;
         // If the commit fails or its outcome is unknown, the next attempt writes the same rows.
         if (isOk(result))
-            keptQuarantines_ = kept;
+            storedQuarantines_ = kept;
     });
 }
 
--- a/src/serving/node_relays.cpp
+++ b/src/serving/node_relays.cpp
@@ -15,28 +15,28 @@
 namespace {
 
 /// An entry VM watches the store itself after that many relay messages in a row are missing.
-constexpr int missedNews = 2;
+constexpr int maxMissedRelays = 2;
 /// Delay between successive entry VMs, in the order of duties, that begin to watch because all
 /// watchers seem to have failed; most then hear from the first ones before their own turn.
-constexpr Duration watchTurn = std::chrono::milliseconds(10);
+constexpr Duration watchStagger = std::chrono::milliseconds(10);
 /// Relayed changes arrive within that time; changes that are still missing are fetched from the
 /// store.
-constexpr Duration catchUpAfter = std::chrono::milliseconds(120);
+constexpr Duration catchUpDelay = std::chrono::milliseconds(120);
 /// The same for an entry VM whose reporter answers each of its digests with the changes it lacks.
-constexpr Duration catchUpFromSums = std::chrono::milliseconds(700);
+constexpr Duration catchUpDelayWithReporter = std::chrono::milliseconds(700);
 /// Minimum interval between queries to the store for a configuration that a peer has; rejected
 /// calls are billed too.
-constexpr Duration askStoreAgain = std::chrono::milliseconds(800);
+constexpr Duration storeQueryInterval = std::chrono::milliseconds(800);
 /// How long to ask peers only. A peer answers within a few milliseconds, but two of its answers may
 /// be lost, or its link may be saturated.
-constexpr Duration configurationFromPeers = std::chrono::milliseconds(600);
+constexpr Duration peerConfigurationTimeout = std::chrono::milliseconds(600);
 /// Maximum pause between failing calls. It is shorter for those that watch the store for all, as
 /// they find out when it is available again; rejected calls are billed too.
 constexpr Duration watcherFailurePause = std::chrono::milliseconds(400);
-constexpr Duration spareFailurePause = std::chrono::milliseconds(2500);
+constexpr Duration standbyFailurePause = std::chrono::milliseconds(2500);
 /// Number of entry VMs that relay changes of endpoints in addition to the planner, which receives
 /// them first.
-constexpr std::uint32_t relayCount = 1;
+constexpr std::uint32_t extraRelayCount = 1;
 
 constexpr std::string_view heardFromPeer = "peer";
 
@@ -44,16 +44,16 @@
 
 void Node::changesArrived(const std::string &table, RowVersion after, RowVersion to)
 {
-    const bool passesOn = (rank_ && *rank_ < relayCount) || parts_.lease_.isHeld();
+    const bool passesOn = (rank_ && *rank_ < extraRelayCount) || parts_.lease_.isHeld();
     if (table != parts_.format_.endpointTable() || !passesOn)
         return;
     if (auto relay = history_.after(after)) {
         relay->to_ = std::max(relay->to_, to);
-        passOn(*std::move(relay), relayTargets());
+        sendRelay(*std::move(relay), relayTargets());
     }
 }
 
-void Node::relayArrived(const EndpointRelay &relay)
+void Node::onEndpointRelay(const EndpointRelay &relay)
 {
     const auto last = relay.changes_.empty() ? RowVersion() : relay.changes_.back().version_;
     const auto had = endpointWatch_.takeRelayed(relay.after_, relay.to_, last);
@@ -90,12 +90,12 @@
     return result;
 }
 
-void Node::passOn(EndpointRelay relay, const std::vector<Address> &targets)
+void Node::sendRelay(EndpointRelay relay, const std::vector<Address> &targets)
 {
     const auto now = parts_.clock_.now();
     for (const auto &part : splitRelay(std::move(relay))) {
         const auto text = encode(part);
-        if (!budget_.take(text.size() * targets.size(), now))
+        if (!sendBudget_.take(text.size() * targets.size(), now))
             return; // Dropped changes are sent again after the next digest, or peers fetch them.
         for (const auto &address : targets)
             parts_.datagrams_.send(address, text);
@@ -121,19 +121,20 @@
 void Node::chooseWatches(TimePoint now)
 {
     // Watchers are determined by the set of peers, which is known from then on.
-    const auto knowsPeersAt = startedAt_ + startPhase;
-    configurationTrail_.startAt(knowsPeersAt);
-    configurationTrail_.note(parts_.gateway_.confirmedAt(), now);
-    endpointTrail_.startAt(knowsPeersAt);
-    endpointTrail_.note(parts_.gateway_.endpointsConfirmedAt(), now);
-    const auto silence
-        = std::max(configurationTrail_.silentFor(now), endpointTrail_.silentFor(now));
-    const bool hearsRelay = now - std::max(relayHeardAt_, knowsPeersAt) < news_.told_ * missedNews
-                            && silence < news_.wait_ + news_.told_ + ownTurn();
+    const auto knowsPeersAt = startedAt_ + startupPeriod;
+    configurationTracker_.startAt(knowsPeersAt);
+    configurationTracker_.note(parts_.gateway_.confirmedAt(), now);
+    endpointTracker_.startAt(knowsPeersAt);
+    endpointTracker_.note(parts_.gateway_.endpointsConfirmedAt(), now);
+    const auto silence = std::max(configurationTracker_.timeSinceUpdate(now),
+                                  endpointTracker_.timeSinceUpdate(now));
+    const bool hearsRelay
+        = now - std::max(relayReceivedAt_, knowsPeersAt) < newsBudget_.relayTime_ * maxMissedRelays
+          && silence < newsBudget_.wait_ + newsBudget_.relayTime_ + ownWatchDelay();
     const bool isFirst = isLeaseStarted_ && (rank_.has_value() || parts_.lease_.isHeld());
     const bool wasWatching = std::exchange(isWatching_, isFirst || !hearsRelay);
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
-        watch->setFailurePause(isFirst ? watcherFailurePause : spareFailurePause);
+        watch->setFailurePause(isFirst ? watcherFailurePause : standbyFailurePause);
         // Refresh at once when starting to watch, instead of waiting for the next change.
         if (isWatching_ && !wasWatching)
             watch->catchUp();
@@ -141,21 +142,21 @@
     }
 }
 
-Duration Node::ownTurn() const
+Duration Node::ownWatchDelay() const
 {
-    return std::min<Duration>(watchTurn * dutyPlace_, news_.turns_);
+    return std::min<Duration>(watchStagger * dutyPosition_, newsBudget_.stagger_);
 }
 
-void Node::setBudget(bool hasReporters)
+void Node::setNewsBudget(bool hasReporters)
 {
-    news_ = newsBudget(settings_.newsBound_, hasReporters);
-    configurationWatch_.setWait(news_.wait_);
-    endpointWatch_.setWait(news_.wait_);
+    newsBudget_ = newsBudget(settings_.newsBound_, hasReporters);
+    configurationWatch_.setWait(newsBudget_.wait_);
+    endpointWatch_.setWait(newsBudget_.wait_);
 }
 
 /// Watchers query the store for a newer configuration, and peers if the store rejects the call. The
 /// others ask the peer that announced it, and the store if that peer doesn't answer.
-void Node::followConfiguration(const RelayState &relay, const Address &source, TimePoint now)
+void Node::applyRelayedConfiguration(const RelayState &relay, const Address &source, TimePoint now)
 {
     const auto &routes = parts_.gateway_.routes();
     const auto version = routes ? routes->version() : ConfigVersion();
@@ -163,10 +164,10 @@
         parts_.gateway_.confirm(now - relay.configAge_);
     if (relay.config_ <= version)
         return;
-    if (!isWatching_ && exchange_.askSource(relay.config_, source, now) < configurationFromPeers)
+    if (!isWatching_ && exchange_.askSource(relay.config_, source, now) < peerConfigurationTimeout)
         return;
-    if (now - configAskedAt_ >= askStoreAgain) {
-        configAskedAt_ = now;
+    if (now - configQueriedAt_ >= storeQueryInterval) {
+        configQueriedAt_ = now;
         configurationWatch_.catchUp();
     }
     std::vector<Address> addresses;
@@ -175,35 +176,35 @@
     exchange_.heardOf(relay.config_, addresses, now);
 }
 
-void Node::partArrived(const ConfigurationPart &part)
+void Node::onConfigurationPart(const ConfigurationPart &part)
 {
     const auto whole = exchange_.take(part);
     if (!whole)
         return;
     log::info(event::configurationFromPeer, {{"version", std::to_string(whole->first.value())},
                                              {"bytes", std::to_string(whole->second.size())}});
-    takeConfiguration(whole->second, {});
+    applyConfiguration(whole->second, {});
 }
 
 /// Adds the maximum transit time of the digest to the ages in it. If that time is unknown the ages
 /// are meaningless, and the relay state is dropped.
-void Node::ageRelay(LoadDigest &digest, TimePoint now)
+void Node::addTransitTime(LoadDigest &digest, TimePoint now)
 {
     if (!digest.relay_)
         return;
     if (clocks_.isQuestionDue(digest.from_, digest.stamp_.since_, now))
         parts_.datagrams_.send(digest.address_,
                                encode(ClockQuestion{settings_.digests_.text(), readingOf(now)}));
-    const auto way = clocks_.longestAge(digest.from_, digest.stamp_, now);
-    if (!way) {
+    const auto transitTime = clocks_.longestAge(digest.from_, digest.stamp_, now);
+    if (!transitTime) {
         digest.relay_.reset();
         return;
     }
-    digest.relay_->configAge_ += *way;
-    digest.relay_->endpointsAge_ += *way;
+    digest.relay_->configAge_ += *transitTime;
+    digest.relay_->endpointsAge_ += *transitTime;
 }
 
-void Node::clockAsked(const ClockQuestion &question)
+void Node::onClockQuestion(const ClockQuestion &question)
 {
     const auto address = config::addressOf(question.address_);
     if (!address)
@@ -214,11 +215,11 @@
 }
 
 /// A confirmation that a peer has from the store also holds here if both have the same version.
-void Node::followRelay(const RelayState &relay, const Address &source, TimePoint now)
+void Node::applyRelayState(const RelayState &relay, const Address &source, TimePoint now)
 {
-    relayHeardAt_ = now;
-    followConfiguration(relay, source, now);
-    followEndpoints(relay, now);
+    relayReceivedAt_ = now;
+    applyRelayedConfiguration(relay, source, now);
+    applyRelayedEndpoints(relay, now);
     const auto before = evacuations_.zones();
     if (evacuations_.take(relay.evacuations_))
         evacuationsChanged(before, heardFromPeer);
@@ -228,24 +229,24 @@
 /// last confirmation from the store. This doesn't reset a newer version that another peer reported:
 /// otherwise entry VMs that had lost the store would keep others, which still reached it, from
 /// fetching a change that they had heard of.
-void Node::followEndpoints(const RelayState &relay, TimePoint now)
+void Node::applyRelayedEndpoints(const RelayState &relay, TimePoint now)
 {
-    timelineSeen(relay.endpoints_.timeline(), heardFromPeer);
-    storeAnswered(now - relay.endpointsAge_);
+    noteTimeline(relay.endpoints_.timeline(), heardFromPeer);
+    noteStoreAnswer(now - relay.endpointsAge_);
     if (relay.endpoints_ <= endpointWatch_.version())
         parts_.gateway_.confirmEndpoints(now - relay.endpointsAge_);
-    heardVersion_ = std::max(heardVersion_, relay.endpoints_);
-    if (heardVersion_ <= endpointWatch_.version()) {
+    peerVersion_ = std::max(peerVersion_, relay.endpoints_);
+    if (peerVersion_ <= endpointWatch_.version()) {
         behindSince_ = {};
         return;
     }
     if (behindSince_ == TimePoint{})
         behindSince_ = now;
-    const auto patience = reporter_ ? catchUpFromSums : catchUpAfter;
+    const auto patience = reporter_ ? catchUpDelayWithReporter : catchUpDelay;
     if (now - behindSince_ >= patience) {
         log::info(event::viewBehind,
                   {{"version", std::to_string(endpointWatch_.version().value())},
-                   {"peer-has", std::to_string(heardVersion_.value())},
+                   {"peer-has", std::to_string(peerVersion_.value())},
                    {"behind-ms", std::to_string(toMilliseconds(now - behindSince_))},
                    {"view-age-ms", std::to_string(toMilliseconds(viewAge()))}});
         behindSince_ = {};
--- a/src/serving/node_restores.cpp
+++ b/src/serving/node_restores.cpp
@@ -15,14 +15,14 @@
 constexpr Duration settleTime = std::chrono::milliseconds(2000);
 /// An endpoint that has ended doesn't rewrite its entry; the restored entry lapses after three
 /// heartbeats.
-constexpr Duration leavingHeld = std::chrono::seconds(5);
+constexpr Duration leavingHoldTime = std::chrono::seconds(5);
 /// A timeline that is further ahead is considered an error of the sender.
-constexpr std::uint64_t mostRestoresMissed = 64;
+constexpr std::uint64_t maxTimelineLead = 64;
 /// Maximum number of log lines about such timelines; a faulty peer repeats the timeline in each
 /// digest.
-constexpr std::size_t mostTimelinesLogged = 5;
+constexpr std::size_t maxTimelinesLogged = 5;
 /// Delay between successive entry VMs, in the order of duties, that rewrite their rows.
-constexpr Duration announceTurn = std::chrono::milliseconds(10);
+constexpr Duration announceStagger = std::chrono::milliseconds(10);
 
 } // namespace
 
@@ -37,12 +37,12 @@
 }
 
 /// \param source where the timeline was seen, for the log.
-void Node::timelineSeen(StoreTimeline timeline, std::string_view source)
+void Node::noteTimeline(StoreTimeline timeline, std::string_view source)
 {
     if (timeline_ && timeline <= *timeline_)
         return;
-    if (timeline_ && timeline.value() - timeline_->value() > mostRestoresMissed) {
-        if (++timelinesRefused_ <= mostTimelinesLogged)
+    if (timeline_ && timeline.value() - timeline_->value() > maxTimelineLead) {
+        if (++rejectedTimelines_ <= maxTimelinesLogged)
             log::warning(event::timelineRefused, {{"timeline", std::to_string(timeline.value())},
                                                   {"present", std::to_string(timeline_->value())},
                                                   {"seen-by", std::string(source)}});
@@ -66,9 +66,9 @@
     const auto now = parts_.clock_.now();
     settledAt_ = now + settleTime;
     parts_.gateway_.countStoreRestore();
-    parts_.book_.excuseAbsence(now + absenceGrace);
-    parts_.book_.holdLeaving(now + leavingHeld);
-    keptQuarantines_.clear();
+    parts_.book_.excuseAbsence(now + absenceGracePeriod);
+    parts_.book_.holdLeaving(now + leavingHoldTime);
+    storedQuarantines_.clear();
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
         if (watch->isListed() && watch->version().timeline() < *timeline_)
             watch->listAnew();
@@ -91,7 +91,7 @@
         if (!evacuations_.zones().empty())
             configurationWatch_.listAnew();
     });
-    parts_.clock_.schedule(settleTime + announceTurn * dutyPlace_,
+    parts_.clock_.schedule(settleTime + announceStagger * dutyPosition_,
                            [this, alive = std::weak_ptr(isAlive_)] {
                                if (!alive.expired() && !isLeaving_)
                                    announce();
--- a/src/serving/node_roster.cpp
+++ b/src/serving/node_roster.cpp
@@ -14,13 +14,13 @@
 namespace {
 
 /// A process that has just started may know few others, and doesn't report a roster for that long.
-constexpr Duration learnsFleetFor = std::chrono::seconds(2);
+constexpr Duration fleetDiscoveryTime = std::chrono::seconds(2);
 /// Within that time all entry VMs of its zone have sent a new reporter several digests.
-constexpr Duration learnsZoneFor = std::chrono::seconds(1);
+constexpr Duration zoneDiscoveryTime = std::chrono::seconds(1);
 /// Peers that are new on either side are discovered by digests within that time, without a query.
-constexpr Duration askRosterAfter = std::chrono::milliseconds(300);
+constexpr Duration rosterQueryDelay = std::chrono::milliseconds(300);
 /// Minimum interval between queries; an answer takes some milliseconds unless it is lost.
-constexpr Duration askRosterAgain = std::chrono::milliseconds(500);
+constexpr Duration rosterQueryInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -50,10 +50,11 @@
 /// The roster that this reporter vouches for: entry VMs of its own zone that send it digests, and
 /// its known peers of other zones. Peers of its own zone that it only knows from others are
 /// excluded: reporters that repeated such entries to each other would keep them alive forever.
-std::vector<PeerSeat> Node::statedRoster(const AvailabilityZone &zone, TimePoint now) const
+std::vector<PeerSeat> Node::authoritativeRoster(const AvailabilityZone &zone, TimePoint now) const
 {
     auto result = rosterOf(zone);
-    std::erase_if(result, [this](const PeerSeat &seat) { return seat.zone_ == settings_.zone_; });
+    std::erase_if(result,
+                  [this](const PeerSeat &peerInfo) { return peerInfo.zone_ == settings_.zone_; });
     if (!zone.isEmpty() && zone != settings_.zone_)
         return result;
     const auto heard = hub_.roster(false, now);
@@ -61,15 +62,15 @@
     return result;
 }
 
-bool Node::answersForZone(TimePoint now) const
+bool Node::isRosterAuthority(TimePoint now) const
 {
-    return hasReporters_ && !reporter_ && now - reportsSince_ >= learnsZoneFor
-           && peerWatch_.isListed() && now - startedAt_ >= learnsFleetFor;
+    return hasReporters_ && !reporter_ && now - reportsSince_ >= zoneDiscoveryTime
+           && peerWatch_.isListed() && now - startedAt_ >= fleetDiscoveryTime;
 }
 
-std::uint64_t Node::statedTotal(const AvailabilityZone &zone, TimePoint now) const
+std::uint64_t Node::authoritativeTotal(const AvailabilityZone &zone, TimePoint now) const
 {
-    return answersForZone(now) ? RosterSums(statedRoster(zone, now)).total() : 0;
+    return isRosterAuthority(now) ? RosterSums(authoritativeRoster(zone, now)).total() : 0;
 }
 
 /// The reporter of the own zone is the source for the whole fleet, and reporters of other zones for
@@ -82,12 +83,12 @@
 }
 
 /// Equal hashes confirm all peers in scope, however long ago each was last mentioned.
-void Node::followRoster(const LoadSummary &summary, TimePoint now)
+void Node::compareRoster(const LoadSummary &summary, TimePoint now)
 {
     const auto zone = summary.isOfZone_ ? summary.sum_.zone_ : AvailabilityZone();
     if (summary.rosterTotal_ == 0 || !isRosterSource(summary.sum_.from_, zone))
         return;
-    auto &follow = rosterFollows_[zone];
+    auto &follow = rosterComparisons_[zone];
     if (summary.rosterTotal_ == rosterSums(zone).total()) {
         follow.confirmedAt_ = now;
         follow.differsSince_.reset();
@@ -95,8 +96,8 @@
     }
     if (!follow.differsSince_)
         follow.differsSince_ = now;
-    const bool isDue
-        = now - *follow.differsSince_ >= askRosterAfter && now - follow.askedAt_ >= askRosterAgain;
+    const bool isDue = now - *follow.differsSince_ >= rosterQueryDelay
+                       && now - follow.askedAt_ >= rosterQueryInterval;
     if (!isDue)
         return;
     follow.askedAt_ = now;
@@ -104,15 +105,15 @@
                            encode(RosterQuestion{settings_.digests_, zone, rosterSums(zone)}));
 }
 
-void Node::rosterAsked(const RosterQuestion &question)
+void Node::onRosterQuestion(const RosterQuestion &question)
 {
     const auto now = parts_.clock_.now();
-    if (!answersForZone(now))
+    if (!isRosterAuthority(now))
         return;
     for (const auto &part :
-         answerTo(question, settings_.entry_, statedRoster(question.zone_, now))) {
+         answerTo(question, settings_.entry_, authoritativeRoster(question.zone_, now))) {
         const auto text = encode(part);
-        if (!budget_.take(text.size(), now))
+        if (!sendBudget_.take(text.size(), now))
             return; // The remaining buckets still differ at the next query.
         parts_.datagrams_.send(question.address_, text);
     }
@@ -120,7 +121,7 @@
 
 /// Buckets that don't differ hold the same entry VMs on both sides; the buckets in the answer are
 /// complete.
-void Node::rosterArrived(const RosterAnswer &answer)
+void Node::onRosterAnswer(const RosterAnswer &answer)
 {
     if (!isRosterSource(answer.from_, answer.zone_))
         return;
@@ -131,32 +132,33 @@
             peer.heardAt_ = now;
     }
     for (const auto &bucket : answer.buckets_)
-        takeBucket(bucket, answer.zone_, now);
+        applyBucket(bucket, answer.zone_, now);
 }
 
 /// \param zone the bucket covers only entry VMs of this zone; empty: of all zones.
-void Node::takeBucket(const RosterBucket &bucket, const AvailabilityZone &zone, TimePoint now)
+void Node::applyBucket(const RosterBucket &bucket, const AvailabilityZone &zone, TimePoint now)
 {
     const auto isGone = [&](const auto &one) {
         const auto &entry = one.first;
         const bool isInScope = zone.isEmpty() || one.second.zone_ == zone;
         return isInScope && RosterSums::bucketOf(entry) == bucket.index_
-               && std::none_of(bucket.seats_.begin(), bucket.seats_.end(),
-                               [&entry](const PeerSeat &seat) { return seat.entry_ == entry; });
+               && std::none_of(
+                   bucket.members_.begin(), bucket.members_.end(),
+                   [&entry](const PeerSeat &peerInfo) { return peerInfo.entry_ == entry; });
     };
     if (std::erase_if(peers_, isGone) > 0)
-        notePeersChanged();
-    for (const auto &seat : bucket.seats_)
-        meet(seat, now);
+        markPeersChanged();
+    for (const auto &peerInfo : bucket.members_)
+        meet(peerInfo, now);
 }
 
 /// When \p peer was last confirmed, directly or by equal roster hashes.
-TimePoint Node::lastWordOf(const Peer &peer) const
+TimePoint Node::lastConfirmedAt(const Peer &peer) const
 {
     auto result = peer.heardAt_;
     for (const auto &zone : {AvailabilityZone(), peer.zone_}) {
-        const auto follow = rosterFollows_.find(zone);
-        if (follow != rosterFollows_.end())
+        const auto follow = rosterComparisons_.find(zone);
+        if (follow != rosterComparisons_.end())
             result = std::max(result, follow->second.confirmedAt_);
     }
     return result;
--- a/src/serving/notification.cpp
+++ b/src/serving/notification.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 /// The method is only searched for within this many bytes at the start of a message.
-constexpr std::size_t frontBytes = 80;
+constexpr std::size_t methodSearchBytes = 80;
 
-constexpr Duration longestTime = std::chrono::hours(24 * 365 * 100);
+constexpr Duration maxTime = std::chrono::hours(24 * 365 * 100);
 
 } // namespace
 
@@ -33,7 +33,7 @@
 std::optional<json::object> paramsOf(std::string_view text, std::string_view method)
 {
     const auto named = "\"method\":\"" + std::string(method) + "\"";
-    if (text.substr(0, frontBytes).find(named) == std::string_view::npos)
+    if (text.substr(0, methodSearchBytes).find(named) == std::string_view::npos)
         return std::nullopt;
     boost::system::error_code error;
     auto value = json::parse(text, error);
@@ -81,7 +81,7 @@
 
 Duration microsecondsIn(const json::object &object, std::string_view name)
 {
-    return std::min<Duration>(std::chrono::microseconds(numberIn(object, name)), longestTime);
+    return std::min<Duration>(std::chrono::microseconds(numberIn(object, name)), maxTime);
 }
 
 bool flagIn(const json::object &object, std::string_view name)
--- a/src/serving/peer_clocks.cpp
+++ b/src/serving/peer_clocks.cpp
@@ -16,15 +16,15 @@
 
 /// Interval between questions to a peer. An answer that was queued gives a poor bound, which a
 /// better answer corrects a second later. Costs both sides 200 bytes per second.
-constexpr Duration askEvery = std::chrono::seconds(1);
+constexpr Duration questionInterval = std::chrono::seconds(1);
 /// Interval while there is no answer yet; either datagram may have been lost.
-constexpr Duration askAgain = std::chrono::milliseconds(200);
+constexpr Duration questionRetryInterval = std::chrono::milliseconds(200);
 
 /// Maximum relative difference in clock speed: ten times that of common quartz clocks.
-constexpr double drift = 200e-6;
+constexpr double maxClockDrift = 200e-6;
 
 /// Expires clocks of peers that are no longer followed; others are asked every second.
-constexpr Duration forgottenAfter = std::chrono::seconds(20);
+constexpr Duration clockLifetime = std::chrono::seconds(20);
 
 } // namespace
 
@@ -73,16 +73,16 @@
     if (known.since_ != since)
         known = {since, false, {}, {}, {}};
     if (known.askedAt_ != TimePoint{}
-        && now - known.askedAt_ < (known.isAnswered_ ? askEvery : askAgain))
+        && now - known.askedAt_ < (known.isAnswered_ ? questionInterval : questionRetryInterval))
         return false;
     known.askedAt_ = now;
     return true;
 }
 
 /// The bound loosens over time, as the clocks may run at different speeds.
-Duration PeerClocks::aheadAt(const Known &known, TimePoint now)
+Duration PeerClocks::offsetAt(const Known &known, TimePoint now)
 {
-    return known.ahead_ - fromSeconds(toSeconds(now - known.answeredAt_) * drift);
+    return known.offset_ - fromSeconds(toSeconds(now - known.answeredAt_) * maxClockDrift);
 }
 
 void PeerClocks::take(const ClockAnswer &answer, TimePoint now)
@@ -95,9 +95,9 @@
     auto &known = found->second;
     // The peer read its clock after the question was sent.
     const auto ahead = answer.askedAt_ - answer.stamp_.reading_;
-    if (known.isAnswered_ && ahead <= aheadAt(known, now))
+    if (known.isAnswered_ && ahead <= offsetAt(known, now))
         return;
-    known.ahead_ = ahead;
+    known.offset_ = ahead;
     known.answeredAt_ = now;
     known.isAnswered_ = true;
 }
@@ -108,14 +108,14 @@
     const auto found = known_.find(peer);
     if (found == known_.end() || !found->second.isAnswered_ || found->second.since_ != stamp.since_)
         return std::nullopt;
-    const auto sentAt = stamp.reading_ + aheadAt(found->second, now);
+    const auto sentAt = stamp.reading_ + offsetAt(found->second, now);
     return std::max(Duration::zero(), readingOf(now) - sentAt);
 }
 
 void PeerClocks::expire(TimePoint now)
 {
     std::erase_if(known_,
-                  [now](const auto &one) { return now - one.second.askedAt_ > forgottenAfter; });
+                  [now](const auto &one) { return now - one.second.askedAt_ > clockLifetime; });
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -22,10 +22,10 @@
 constexpr std::string_view alarmMethod = "silence";
 
 /// Entries of endpoints per datagram; at 170 bytes each they fit into a packet of 1,500 bytes.
-constexpr std::size_t mostEntries = 7;
+constexpr std::size_t maxEntriesPerDatagram = 7;
 
 /// In microseconds.
-constexpr std::uint64_t longestColdTold = 3'600'000'000;
+constexpr std::uint64_t maxColdMicroseconds = 3'600'000'000;
 
 void readDemand(const json::value *value, std::map<ModelName, double> &demand)
 {
@@ -290,7 +290,7 @@
     endpoint.bornAt_ = numberAt<std::uint64_t>(entry, BornPart);
     if (entry.size() == ColdEntryParts)
         endpoint.coldFor_ = std::chrono::microseconds(
-            std::min(numberAt<std::uint64_t>(entry, ColdPart), longestColdTold));
+            std::min(numberAt<std::uint64_t>(entry, ColdPart), maxColdMicroseconds));
     const auto state = numberAt<int>(entry, StatePart);
     const bool isMember = !entry.at(GroupPart).as_string().empty();
     if (isMember && state >= 0 && state <= static_cast<int>(MemberState::Broken))
@@ -414,7 +414,7 @@
         // of its entries.
         const bool isNewVersion
             = !part.changes_.empty() && part.changes_.back().version_ != change.version_;
-        if (isNewVersion && part.changes_.size() >= mostEntries) {
+        if (isNewVersion && part.changes_.size() >= maxEntriesPerDatagram) {
             part.to_ = part.changes_.back().version_;
             const auto end = part.to_;
             result.push_back(std::exchange(part, {}));
--- a/src/serving/reporters.cpp
+++ b/src/serving/reporters.cpp
@@ -9,15 +9,15 @@
 
 /// Missing sums for that long, four at 100 ms each, make a reporter count as failed. A reporter
 /// that was killed is thus replaced within half a second.
-constexpr Duration longestSilence = std::chrono::milliseconds(450);
+constexpr Duration reporterTimeout = std::chrono::milliseconds(450);
 
 /// How long a failed reporter is skipped before it is tried again. A killed process is back within
 /// a second or two, and one that is gone for good stops being a peer after six seconds.
-constexpr Duration passedOverFor = std::chrono::seconds(3);
+constexpr Duration reporterSkipTime = std::chrono::seconds(3);
 
 /// Reporters per zone that receive sums from other zones, so that the second one has current data
 /// when it takes over.
-constexpr std::size_t perZone = 2;
+constexpr std::size_t reportersPerZone = 2;
 
 } // namespace
 
@@ -53,8 +53,8 @@
     for (const auto &entry : ranked) {
         if (result.size() == count)
             break;
-        const auto passedOver = passedOverUntil_.find(entry);
-        if (entry == self_ || passedOver == passedOverUntil_.end() || now >= passedOver->second)
+        const auto skipped = skippedUntil_.find(entry);
+        if (entry == self_ || skipped == skippedUntil_.end() || now >= skipped->second)
             result.push_back(entry);
     }
     return result;
@@ -75,7 +75,7 @@
     for (const auto &[zone, ranked] : ranked_) {
         if (zone == zone_)
             continue;
-        const auto entries = first(ranked, perZone, now);
+        const auto entries = first(ranked, reportersPerZone, now);
         result.insert(result.end(), entries.begin(), entries.end());
     }
     return result;
@@ -83,7 +83,7 @@
 
 void Reporters::heard(const EntryId &reporter, TimePoint now)
 {
-    if (reporter == awaited_)
+    if (reporter == awaitedReporter_)
         heardAt_ = now;
 }
 
@@ -91,16 +91,16 @@
 {
     const auto reporter = own(now);
     if (!reporter) {
-        awaited_ = {};
+        awaitedReporter_ = {};
         return;
     }
-    if (*reporter != awaited_) {
-        awaited_ = *reporter;
+    if (*reporter != awaitedReporter_) {
+        awaitedReporter_ = *reporter;
         heardAt_ = now;
         return;
     }
-    if (now - heardAt_ > longestSilence)
-        passedOverUntil_[*reporter] = now + passedOverFor;
+    if (now - heardAt_ > reporterTimeout)
+        skippedUntil_[*reporter] = now + reporterSkipTime;
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/roster.cpp
+++ b/src/serving/roster.cpp
@@ -27,14 +27,15 @@
 constexpr int hexadecimal = 16;
 
 /// A part of an answer with that many entry VMs is full; it fills about one packet.
-constexpr std::size_t enoughSeats = 14;
+constexpr std::size_t membersPerPart = 14;
 
 /// JSON parsers may read numbers as doubles, which hold that many bits exactly.
-constexpr std::uint64_t exactBits = (std::uint64_t{1} << 52U) - 1;
+constexpr std::uint64_t exactDoubleMask = (std::uint64_t{1} << 52U) - 1;
 
-std::uint64_t hashOf(const PeerSeat &seat)
+std::uint64_t hashOf(const PeerSeat &peerInfo)
 {
-    return stableHash(seat.entry_.text() + ' ' + seat.address_.text() + ' ' + seat.zone_.text());
+    return stableHash(peerInfo.entry_.text() + ' ' + peerInfo.address_.text() + ' '
+                      + peerInfo.zone_.text());
 }
 
 std::string hexText(std::uint64_t value, std::size_t digits)
@@ -85,7 +86,7 @@
 {
     json::array result;
     for (const auto &bucket : buckets)
-        result.push_back(json::array{bucket.index_, seatsArray(bucket.seats_)});
+        result.push_back(json::array{bucket.index_, seatsArray(bucket.members_)});
     return result;
 }
 
@@ -102,21 +103,21 @@
             = parts == nullptr || parts->size() != 2 ? std::nullopt : countIn(parts->at(0));
         if (!index || *index >= RosterSums::bucketCount || !parts->at(1).is_array())
             continue;
-        auto seats = seatsIn(&parts->at(1));
-        if (seats.size() == parts->at(1).get_array().size())
-            result.push_back({*index, std::move(seats)});
+        auto members = seatsIn(&parts->at(1));
+        if (members.size() == parts->at(1).get_array().size())
+            result.push_back({*index, std::move(members)});
     }
     return result;
 }
 
 } // namespace
 
-RosterSums::RosterSums(std::span<const PeerSeat> seats)
+RosterSums::RosterSums(std::span<const PeerSeat> members)
 {
-    for (const auto &seat : seats) {
-        const auto hash = hashOf(seat);
-        sums_[bucketOf(seat.entry_)] ^= static_cast<std::uint16_t>(hash);
-        total_ ^= hash & exactBits;
+    for (const auto &peerInfo : members) {
+        const auto hash = hashOf(peerInfo);
+        sums_[bucketOf(peerInfo.entry_)] ^= static_cast<std::uint16_t>(hash);
+        total_ ^= hash & exactDoubleMask;
     }
 }
 
@@ -156,28 +157,28 @@
 }
 
 std::vector<RosterAnswer> answerTo(const RosterQuestion &question, const EntryId &from,
-                                   std::span<const PeerSeat> seats)
+                                   std::span<const PeerSeat> members)
 {
-    const auto differing = RosterSums(seats).differing(question.sums_);
+    const auto differing = RosterSums(members).differing(question.sums_);
     std::map<std::size_t, RosterBucket> buckets;
     for (std::size_t i = 0; i < RosterSums::bucketCount; ++i) {
         if (differing[i])
             buckets[i].index_ = i;
     }
-    for (const auto &seat : seats) {
-        const auto found = buckets.find(RosterSums::bucketOf(seat.entry_));
+    for (const auto &peerInfo : members) {
+        const auto found = buckets.find(RosterSums::bucketOf(peerInfo.entry_));
         if (found != buckets.end())
-            found->second.seats_.push_back(seat);
+            found->second.members_.push_back(peerInfo);
     }
     const RosterAnswer empty{from, question.zone_, differing, {}};
     std::vector<RosterAnswer> result{empty};
-    std::size_t told = 0;
+    std::size_t seatCount = 0;
     for (auto &[index, bucket] : buckets) {
-        if (told >= enoughSeats) {
+        if (seatCount >= membersPerPart) {
             result.push_back(empty);
-            told = 0;
+            seatCount = 0;
         }
-        told += bucket.seats_.size();
+        seatCount += bucket.members_.size();
         result.back().buckets_.push_back(std::move(bucket));
     }
     return result;
--- a/tests/serving/digests.cpp
+++ b/tests/serving/digests.cpp
@@ -19,7 +19,7 @@
 const VmId head("head");
 const TimePoint start{seconds(100)};
 
-PeerSeat seat(const std::string &name, const std::string &zone = "a")
+PeerSeat peerInfo(const std::string &name, const std::string &zone = "a")
 {
     return {EntryId(name), {"10.0.0.1", 7340}, AvailabilityZone(zone)};
 }
@@ -67,12 +67,12 @@
 
 Test(digest_hub, sums_add_up_the_zone_and_the_other_zones)
 {
-    DigestHub hub(seat("r"), Incarnation(1));
+    DigestHub hub(peerInfo("r"), Incarnation(1));
     hub.take(digest("r", 1, 100), start);
     hub.take(digest("m", 2, 100), start);
     LoadSummary other;
     other.sum_ = digest("x", 4, 100);
-    other.roster_ = {seat("x", "b"), seat("y", "b")};
+    other.roster_ = {peerInfo("x", "b"), peerInfo("y", "b")};
     hub.take(other, start);
     cr_assert_eq(hub.zoneSummary(start).sum_.underWay_.at(head), 3);
     const auto sum = hub.fleetSummary(start).sum_;
@@ -85,7 +85,7 @@
 
 Test(digest_hub, source_that_falls_silent_drops_out_and_sent_tokens_never_fall)
 {
-    DigestHub hub(seat("r"), Incarnation(1));
+    DigestHub hub(peerInfo("r"), Incarnation(1));
     hub.take(digest("m", 2, 1000), start);
     hub.take(digest("m", 2, 1500), start + milliseconds(100));
     const auto later = start + seconds(2);
@@ -99,7 +99,7 @@
 
 Test(digest_hub, confirmations_grow_old_while_they_are_held)
 {
-    DigestHub hub(seat("r"), Incarnation(1));
+    DigestHub hub(peerInfo("r"), Incarnation(1));
     auto watching = digest("m", 0, 0);
     watching.relay_ = RelayState{ConfigVersion(3), milliseconds(100), RowVersion(9), {}};
     hub.take(watching, start);
--- a/tests/serving/node_fleet.cpp
+++ b/tests/serving/node_fleet.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Counts nodes that still accept a key of a configuration that was replaced too long ago.
-std::size_t lateNodes(NodeFleet &fleet, const std::vector<TimePoint> &replacedAt)
+std::size_t nodesWithRevokedKey(NodeFleet &fleet, const std::vector<TimePoint> &replacedAt)
 {
     std::size_t result = 0;
     for (std::size_t version = 1; version < replacedAt.size(); ++version) {
@@ -67,14 +67,14 @@
         watcher->isStoreSilent_ = true;
     fleet.configure(2, {keyOf(2)});
     const auto changedAt = fleet.clock_.now();
-    const auto lacksIt = [&] {
+    const auto lacksChange = [&] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             if (!fleet.node(i).isStoreSilent_ && fleet.node(i).configuration() < ConfigVersion(2))
                 return true;
         }
         return false;
     };
-    while (lacksIt() && fleet.clock_.now() - changedAt < seconds(10))
+    while (lacksChange() && fleet.clock_.now() - changedAt < seconds(10))
         fleet.pass(milliseconds(10));
     return fleet.clock_.now() - changedAt;
 }
@@ -131,7 +131,7 @@
             }
             for (int step = 0; step < 4; ++step) {
                 fleet.pass(milliseconds(fleet.random_.below(200)));
-                cr_assert_eq(lateNodes(fleet, replacedAt), 0, "seed %llu version %llu",
+                cr_assert_eq(nodesWithRevokedKey(fleet, replacedAt), 0, "seed %llu version %llu",
                              static_cast<unsigned long long>(seed),
                              static_cast<unsigned long long>(version));
                 for (std::size_t i = 0; i < fleet.size(); ++i)
@@ -145,8 +145,8 @@
 
 Test(node_fleet, calls_to_the_store_do_not_grow_with_the_fleet)
 {
-    std::vector<double> perEntry;
-    std::vector<double> perSecond;
+    std::vector<double> callsPerEntry;
+    std::vector<double> callsPerSecond;
     for (const std::size_t entries : {24U, 96U}) {
         NodeFleet fleet(entries, 4, 2, 7);
         fleet.faults_ = {0.01, milliseconds(5)};
@@ -154,22 +154,22 @@
         fleet.start();
         fleet.pass(seconds(3));
         const auto atStart = fleet.storeCalls();
-        perEntry.push_back(static_cast<double>(atStart) / static_cast<double>(entries));
+        callsPerEntry.push_back(static_cast<double>(atStart) / static_cast<double>(entries));
         for (std::uint64_t version = 2; version <= 21; ++version) {
             fleet.configure(version, {keyOf(version)});
             fleet.pass(milliseconds(500));
         }
         fleet.pass(seconds(1));
-        perSecond.push_back(static_cast<double>(fleet.storeCalls() - atStart) / 10);
+        callsPerSecond.push_back(static_cast<double>(fleet.storeCalls() - atStart) / 10);
         for (std::size_t i = 0; i < fleet.size(); ++i)
             cr_assert(fleet.node(i).honours(keyOf(21)), "node %zu", i);
     }
     std::printf("calls to the store: at the start %.1f and %.1f an entry VM, then %.1f and %.1f a "
                 "second (24 and 96 entry VMs)\n",
-                perEntry[0], perEntry[1], perSecond[0], perSecond[1]);
-    cr_assert_lt(perEntry[1], 8);
-    cr_assert_lt(perSecond[1], 30);
-    cr_assert_lt(perSecond[1], 1.5 * perSecond[0] + 5);
+                callsPerEntry[0], callsPerEntry[1], callsPerSecond[0], callsPerSecond[1]);
+    cr_assert_lt(callsPerEntry[1], 8);
+    cr_assert_lt(callsPerSecond[1], 30);
+    cr_assert_lt(callsPerSecond[1], 1.5 * callsPerSecond[0] + 5);
 }
 
 Test(node_fleet, large_entry_vm_plans_and_another_one_takes_over_when_its_view_is_old)
@@ -183,7 +183,7 @@
     cr_assert(first->isLarge_);
     // It still reaches the store for its lease, but receives no changes of endpoints.
     first->readsLateBy_ = seconds(60);
-    first->isFeedCut_ = true;
+    first->isFeedDown_ = true;
     FleetNode *second = nullptr;
     for (int i = 0; i < 60 && (second == nullptr || second == first); ++i) {
         fleet.pass(milliseconds(100));
@@ -229,13 +229,13 @@
     const auto before = fleet.storeCalls();
     // The watches miss these changes.
     for (std::size_t i = 0; i < fleet.size(); ++i)
-        fleet.node(i).isFeedCut_ = true;
+        fleet.node(i).isFeedDown_ = true;
     fleet.list("engine-new", "d");
     fleet.list("engine-3", "");
     fleet.list("engine-4", "other");
-    fleet.historyFrom_ = fleet.platform_.version();
+    fleet.historyStart_ = fleet.platform_.version();
     for (std::size_t i = 0; i < fleet.size(); ++i)
-        fleet.node(i).isFeedCut_ = false;
+        fleet.node(i).isFeedDown_ = false;
     fleet.pass(seconds(3));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         const auto &book = fleet.node(i).book_;
--- a/tests/serving/peer_clocks.cpp
+++ b/tests/serving/peer_clocks.cpp
@@ -18,11 +18,11 @@
 const Incarnation life(7);
 const TimePoint start{seconds(1000)};
 /// Offset of the peer's clock: its machine booted later.
-constexpr Duration behind = seconds(900);
+constexpr Duration clockOffset = seconds(900);
 
 ClockStamp stampAt(TimePoint now, Incarnation since = life)
 {
-    return {since, readingOf(now) - behind};
+    return {since, readingOf(now) - clockOffset};
 }
 
 /// Exchanges a question that takes \p there to reach the peer and an answer that takes \p back.
--- a/tests/serving/roster.cpp
+++ b/tests/serving/roster.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-std::vector<PeerSeat> seats(std::size_t count)
+std::vector<PeerSeat> members(std::size_t count)
 {
     std::vector<PeerSeat> result;
     for (std::size_t i = 0; i < count; ++i)
@@ -66,7 +66,7 @@
 
 Test(roster, same_entry_vms_in_any_order_have_the_same_sums)
 {
-    auto some = seats(40);
+    auto some = members(40);
     const RosterSums sums(some);
     std::reverse(some.begin(), some.end());
     cr_assert_eq(RosterSums(some).total(), sums.total());
@@ -78,7 +78,7 @@
 
 Test(roster, answer_holds_the_buckets_that_differ_whole_and_no_others)
 {
-    const auto all = seats(2000);
+    const auto all = members(2000);
     auto some = all;
     some.erase(some.begin() + 7);
     const RosterQuestion question{{"10.0.0.2", 7340}, AvailabilityZone("z"), RosterSums(some)};
@@ -87,25 +87,26 @@
     cr_assert_eq(answers.front().buckets_.size(), 1);
     const auto &bucket = answers.front().buckets_.front();
     cr_assert_eq(bucket.index_, RosterSums::bucketOf(all[7].entry_));
-    cr_assert(std::find(bucket.seats_.begin(), bucket.seats_.end(), all[7]) != bucket.seats_.end());
+    cr_assert(std::find(bucket.members_.begin(), bucket.members_.end(), all[7])
+              != bucket.members_.end());
 }
 
 Test(roster, answer_to_one_that_knows_nothing_fits_into_packets)
 {
-    const auto all = seats(2000);
+    const auto all = members(2000);
     const RosterQuestion question{{"10.0.0.2", 7340}, {}, RosterSums()};
     std::size_t told = 0;
     for (const auto &part : answerTo(question, EntryId("reporter"), all)) {
         cr_assert_leq(encode(part).size(), 2000);
         for (const auto &bucket : part.buckets_)
-            told += bucket.seats_.size();
+            told += bucket.members_.size();
     }
     cr_assert_eq(told, all.size());
 }
 
 Test(roster, messages_are_read_as_they_were_written)
 {
-    const auto some = seats(30);
+    const auto some = members(30);
     const RosterQuestion question{{"10.0.0.2", 7340}, AvailabilityZone("z"), RosterSums(some)};
     const auto read = decodeRosterQuestion(encode(question));
     cr_assert(read.has_value());
@@ -117,11 +118,11 @@
 
 Test(roster, messages_that_cannot_be_read_are_left_out)
 {
-    const RosterQuestion question{{"10.0.0.2", 7340}, {}, RosterSums(seats(3))};
+    const RosterQuestion question{{"10.0.0.2", 7340}, {}, RosterSums(members(3))};
     auto text = encode(question);
     text.replace(text.find("\"sums\":\"") + 8, 4, "zzzz");
     cr_assert_not(decodeRosterQuestion(text));
-    auto answer = encode(answerTo(question, EntryId("reporter"), seats(9)).front());
+    auto answer = encode(answerTo(question, EntryId("reporter"), members(9)).front());
     answer.replace(answer.find("\"differing\":\"") + 13, 1, "");
     cr_assert_not(decodeRosterAnswer(answer));
 }
--- a/tests/serving/starts.cpp
+++ b/tests/serving/starts.cpp
@@ -19,7 +19,7 @@
     {
         fleet_.configure(1, {"key"});
         fleet_.listGroup("g");
-        fleet_.node(0).slowTables_["config"] = late;
+        fleet_.node(0).scanDelays_["config"] = late;
         fleet_.start(false);
     }
 
--- a/tests/serving/suspension.cpp
+++ b/tests/serving/suspension.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Exceeds any request's time limit (5 s) and the maximum age of a confirmed configuration (4 s).
-constexpr Duration away = seconds(7);
+constexpr Duration suspensionTime = seconds(7);
 
 constexpr auto event = "id: 1\ndata: x\n\n";
 
@@ -31,7 +31,7 @@
             call_->sealedHead();
         if (steps > 2)
             call_->data(event);
-        bench_.clock_.advance(away);
+        bench_.clock_.advance(suspensionTime);
     }
 
     GatewayFixture bench_;
@@ -82,7 +82,7 @@
 {
     GatewayFixture bench;
     const auto caller = bench.ask("/stream/7");
-    bench.clock_.advance(away);
+    bench.clock_.advance(suspensionTime);
     bench.addGroup("head-1");
     bench.gateway_.sweep();
     cr_assert(isAnswered(*caller));
@@ -93,7 +93,7 @@
 {
     GatewayFixture bench;
     bench.addGroup("head-1");
-    bench.clock_.advance(away);
+    bench.clock_.advance(suspensionTime);
     const auto caller = bench.ask("/stream/7");
     cr_assert_eq(caller->status(), 503);
     bench.gateway_.confirm(bench.clock_.now());
--- a/tests/support/node_fleet.cpp
+++ b/tests/support/node_fleet.cpp
@@ -20,9 +20,9 @@
 constexpr Duration callTimeout = std::chrono::milliseconds(900);
 
 /// The users' bounds for a deployment with 7 entry VMs, and for those with 65 and more.
-constexpr Duration newsBoundOfSmallFleet = std::chrono::seconds(2);
-constexpr Duration newsBoundOfLargeFleet = std::chrono::seconds(3);
-constexpr std::size_t mostOfSmallFleet = 16;
+constexpr Duration smallFleetNewsBound = std::chrono::seconds(2);
+constexpr Duration largeFleetNewsBound = std::chrono::seconds(3);
+constexpr std::size_t maxSmallFleetSize = 16;
 
 constexpr EntryCapacity largeCores = 0.5;
 constexpr EntryCapacity smallCores = 0.12;
@@ -192,7 +192,7 @@
 }
 
 template<typename Answer>
-bool FleetNode::isUnanswered(Duration wait, const Callback<Answer> &done)
+bool FleetNode::timesOut(Duration wait, const Callback<Answer> &done)
 {
     if (!isStoreSilent_)
         return false;
@@ -205,7 +205,7 @@
 void FleetNode::commit(platform::Transaction transaction, Callback<platform::CommitReceipt> done)
 {
     ++storeCalls_;
-    if (isUnanswered(Duration::zero(), done))
+    if (timesOut(Duration::zero(), done))
         return;
     store_.commit(std::move(transaction), [this, done = std::move(done)](const auto &result) {
         clock_.run([done, result] { done(result); });
@@ -215,7 +215,7 @@
 void FleetNode::read(std::vector<platform::RowKey> keys, Callback<std::vector<platform::Row>> done)
 {
     ++storeCalls_;
-    if (isUnanswered(Duration::zero(), done))
+    if (timesOut(Duration::zero(), done))
         return;
     store_.read(std::move(keys), [this, done = std::move(done)](const auto &result) {
         clock_.run([done, result] { done(result); });
@@ -225,9 +225,9 @@
 void FleetNode::scan(platform::Scan scan, Callback<platform::ScanPage> done)
 {
     ++storeCalls_;
-    if (isUnanswered(Duration::zero(), done))
+    if (timesOut(Duration::zero(), done))
         return;
-    const auto later = slowTables_[scan.table_];
+    const auto later = scanDelays_[scan.table_];
     store_.scan(std::move(scan), [this, later, done = std::move(done)](const auto &result) {
         clock_.schedule(later, [done, result] { done(result); });
     });
@@ -247,14 +247,14 @@
                      const Callback<platform::ChangePage> &done)
 {
     // Applies also to an answer that was already on its way.
-    if (isUnanswered(std::max(Duration::zero(), until - fleet_.clock_.now()), done))
+    if (timesOut(std::max(Duration::zero(), until - fleet_.clock_.now()), done))
         return;
-    if (store_.isCutOff_ || isFeedCut_ || fleet_.platform_.faults_.isDown_) {
+    if (store_.isCutOff_ || isFeedDown_ || fleet_.platform_.faults_.isDown_) {
         clock_.run([done] { done(Error(StoreUnavailable{"changes", "cut off"})); });
         return;
     }
     const bool isOfOtherTimeline = query.after_.timeline() != fleet_.platform_.version().timeline();
-    if (query.after_ < fleet_.historyFrom_ || isOfOtherTimeline) {
+    if (query.after_ < fleet_.historyStart_ || isOfOtherTimeline) {
         clock_.run([done] { done(Error(NotFound{"history"})); });
         return;
     }
@@ -264,11 +264,11 @@
         if (key.table_ == query.table_ && row.version_ > query.after_)
             page.changes_.push_back({row, false});
     }
-    for (const auto &[endpoint, version] : fleet_.ended_) {
+    for (const auto &[endpoint, version] : fleet_.removedEndpoints_) {
         if (query.table_ == fleet_.format_.endpointTable() && version > query.after_)
             page.changes_.push_back({{{query.table_, endpoint}, {}, version, {}}, true});
     }
-    for (const auto &[key, version] : fleet_.takenBack_) {
+    for (const auto &[key, version] : fleet_.revokedEvacuations_) {
         if (query.table_ == fleet_.format_.configurationTable() && version > query.after_)
             page.changes_.push_back({{{query.table_, key}, {}, version, {}}, true});
     }
@@ -308,9 +308,9 @@
     transaction.writes_.push_back(
         {{"endpoints", endpoint}, domain.empty() ? std::nullopt : std::optional(domain)});
     (void)platform_.apply(transaction);
-    ended_.erase(endpoint);
+    removedEndpoints_.erase(endpoint);
     if (domain.empty())
-        ended_.emplace(endpoint, platform_.version());
+        removedEndpoints_.emplace(endpoint, platform_.version());
 }
 
 void NodeFleet::drain(const std::string &endpoint)
@@ -332,7 +332,7 @@
     platform::Transaction transaction;
     transaction.writes_.push_back({{std::string(format_.configurationTable()), key}, "{}"});
     (void)platform_.apply(transaction);
-    takenBack_.erase(key);
+    revokedEvacuations_.erase(key);
 }
 
 void NodeFleet::takeBack(const std::string &zone)
@@ -341,7 +341,7 @@
     platform::Transaction transaction;
     transaction.writes_.push_back({{std::string(format_.configurationTable()), key}, std::nullopt});
     (void)platform_.apply(transaction);
-    takenBack_.insert_or_assign(key, platform_.version());
+    revokedEvacuations_.insert_or_assign(key, platform_.version());
 }
 
 void NodeFleet::configure(std::uint64_t version, const std::vector<std::string> &keys)
@@ -364,13 +364,13 @@
     if (spoils_)
         spoils_(text);
     const Duration way = std::chrono::microseconds(200)
-                         + fromSeconds(toSeconds(faults_.longestWay_) * random_.unit());
+                         + fromSeconds(toSeconds(faults_.maxDelay_) * random_.unit());
     clock_.schedule(way, [node = found->second, text = std::move(text)] { node->receive(text); });
 }
 
 Duration NodeFleet::newsBound() const
 {
-    return nodes_.size() > mostOfSmallFleet ? newsBoundOfLargeFleet : newsBoundOfSmallFleet;
+    return nodes_.size() > maxSmallFleetSize ? largeFleetNewsBound : smallFleetNewsBound;
 }
 
 std::size_t NodeFleet::storeCalls() const
--- a/tests/support/node_fleet.hpp
+++ b/tests/support/node_fleet.hpp
@@ -76,7 +76,7 @@
 struct DatagramFaults
 {
     double lossShare_ = 0;
-    Duration longestWay_ = std::chrono::milliseconds(5);
+    Duration maxDelay_ = std::chrono::milliseconds(5);
 };
 
 class FleetNode;
@@ -128,12 +128,12 @@
     FleetFormat format_;
     DatagramFaults faults_;
     std::function<void(std::string &)>
-        spoils_;             ///< If set, called with each datagram; may modify it.
-    RowVersion historyFrom_; ///< The store has no history of earlier changes.
+        spoils_;              ///< If set, called with each datagram; may modify it.
+    RowVersion historyStart_; ///< The store has no history of earlier changes.
     /// Removed endpoints and the versions of their removal.
-    std::map<std::string, RowVersion> ended_;
+    std::map<std::string, RowVersion> removedEndpoints_;
     /// Rows of revoked evacuations and the versions of their removal.
-    std::map<std::string, RowVersion> takenBack_;
+    std::map<std::string, RowVersion> revokedEvacuations_;
     Random random_;
     std::size_t datagramsSent_ = 0; ///< By all nodes, including lost ones.
     std::size_t bytesSent_ = 0;     ///< Total size of these.
@@ -180,9 +180,9 @@
     NodeClock clock_;
     FakeTableStore store_;
     Duration readsLateBy_{};     ///< Time that a datagram spends in this node's receive queue.
-    bool isFeedCut_ = false;     ///< Calls for changes fail; others reach the store.
+    bool isFeedDown_ = false;    ///< Calls for changes fail; others reach the store.
     bool isStoreSilent_ = false; ///< Calls get no answer and fail by timeout.
-    std::map<std::string, Duration> slowTables_; ///< Additional delay of listings by table.
+    std::map<std::string, Duration> scanDelays_; ///< Additional delay of listings by table.
     std::size_t storeCalls_ = 0;
     FakeDialect dialect_;
     FakeUpstream upstream_;
@@ -200,7 +200,7 @@
     class NoOrders;
     /// Lets a call time out if the store is silent for this node; true if so.
     template<typename Answer>
-    bool isUnanswered(Duration wait, const Callback<Answer> &done);
+    bool timesOut(Duration wait, const Callback<Answer> &done);
     void poll(const platform::ChangeQuery &query, TimePoint until,
               const Callback<platform::ChangePage> &done);
 
