--- a/apps/cardamombay-gateway/gateway_daemon.cpp
+++ b/apps/cardamombay-gateway/gateway_daemon.cpp
@@ -182,7 +182,7 @@
                            book_, board_, gateway_, *manager_},
         serving::NodeSettings{settings_.entry_, settings_.zone_, incarnation, settings_.digests_,
                               settings_.isFirstStart_, settings_.cores_, settings_.linkMegabits_,
-                              settings_.newsBound_});
+                              settings_.propagationBound_});
     traffic::LifecycleActions &actions = *this;
     lifecycle_ = std::make_unique<traffic::Lifecycle>(valueOf(std::move(daemonProgram)), clock_,
                                                       drainTimes(settings_.grace_), actions);
--- a/bench/whole_fleet.cpp
+++ b/bench/whole_fleet.cpp
@@ -49,7 +49,7 @@
 void print(support::NodeFleet &fleet, int number, const Totals &before)
 {
     const auto after = totalsOf(fleet);
-    const auto [least, most] = fleet.peersKnown();
+    const auto [least, most] = fleet.peerCounts();
     std::size_t planners = 0;
     double updates = 0;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
--- a/include/cardamombay/serving/digest_hub.hpp
+++ b/include/cardamombay/serving/digest_hub.hpp
@@ -21,7 +21,7 @@
 {
 public:
     /// \param since start of this process, sent with the sums.
-    DigestHub(PeerSeat self, Incarnation since);
+    DigestHub(PeerInfo self, Incarnation since);
 
     /// \name Input
     /// \{
@@ -34,12 +34,12 @@
     /// \}
 
     /// \brief Entry VMs that send their digests here, not counting this one.
-    [[nodiscard]] std::vector<PeerSeat> members() const;
+    [[nodiscard]] std::vector<PeerInfo> members() const;
 
     /// \brief Entry VMs that the collected digests cover, including this one if it has added its
     /// own.
     /// \param withZones includes those of other zones.
-    [[nodiscard]] std::vector<PeerSeat> roster(bool withZones, TimePoint now) const;
+    [[nodiscard]] std::vector<PeerInfo> roster(bool withZones, TimePoint now) const;
 
     /// \name Sums, without a roster
     /// \{
@@ -56,7 +56,7 @@
     };
     struct Listed
     {
-        PeerSeat info_;
+        PeerInfo info_;
         TimePoint at_{};
     };
     struct Source
@@ -78,7 +78,7 @@
     static void add(Totals &totals, const Source &source);
     [[nodiscard]] LoadSummary summary(bool withZones, TimePoint now) const;
 
-    PeerSeat self_;
+    PeerInfo self_;
     Incarnation since_;
     std::map<EntryId, Source> sources_;
     Totals droppedZoneTotals_;  ///< Tokens of dropped sources of this zone; added in so that sums
--- a/include/cardamombay/serving/gateway_settings.hpp
+++ b/include/cardamombay/serving/gateway_settings.hpp
@@ -35,7 +35,7 @@
     std::string logLevel_ = "info";            ///< "debug", "info", "warn" or "error".
     Duration grace_ = std::chrono::seconds(8); ///< From the request to stop until the kill.
     /// Time in which a leaving endpoint and a configuration must be known to all entry VMs.
-    Duration newsBound_ = std::chrono::seconds(2);
+    Duration propagationBound_ = std::chrono::seconds(2);
     GatewayBounds bounds_;
 };
 
--- a/include/cardamombay/serving/news_budget.hpp
+++ b/include/cardamombay/serving/news_budget.hpp
@@ -18,7 +18,7 @@
 /// watch the store.
 /// \details In the worst case all watchers lose the store right after its last confirmation. A
 /// change made then is known after longestGap_, once the others have queried the store themselves.
-struct NewsBudget
+struct PropagationBudget
 {
     Duration wait_{};      ///< Maximum time between two confirmations at a watcher.
     Duration relayTime_{}; ///< From the watchers to all others, allowing for one lost datagram.
@@ -30,7 +30,7 @@
 
 /// \param bound time within which a change must be known to all entry VMs.
 /// \param hasReporters true if digests are sent by way of reporters.
-[[nodiscard]] NewsBudget newsBudget(Duration bound, bool hasReporters);
+[[nodiscard]] PropagationBudget propagationBudget(Duration bound, bool hasReporters);
 
 /// \brief Tracks the newest known confirmation of a table.
 /// \code
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -33,7 +33,7 @@
     double linkMegabits_ = 1000; ///< Bandwidth of its network link, Mbit/s.
     /// Upper bound on the time until all entry VMs know of a leaving endpoint or a new
     /// configuration.
-    Duration newsBound_ = std::chrono::seconds(2);
+    Duration propagationBound_ = std::chrono::seconds(2);
 
     [[nodiscard]] EntryCapacity capacity() const { return cores_ * linkMegabits_; }
 };
@@ -133,9 +133,9 @@
     void report(TimePoint now);
     void setReporter(const std::optional<EntryId> &reporter, bool isNeeded);
     void sendSums(TimePoint now);
-    [[nodiscard]] std::vector<PeerSeat> rosterPageOf(std::vector<PeerSeat> roster) const;
+    [[nodiscard]] std::vector<PeerInfo> rosterPageOf(std::vector<PeerInfo> roster) const;
     void onDatagram(std::string_view text);
-    bool meet(const PeerSeat &peerInfo, TimePoint now);
+    bool meet(const PeerInfo &peerInfo, TimePoint now);
     void onDigest(LoadDigest digest);
     void onSummary(LoadSummary summary);
     void recordLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now);
@@ -153,9 +153,9 @@
     [[nodiscard]] RelayState relayState(TimePoint now) const;
     void peersChanged();
     void markPeersChanged();
-    [[nodiscard]] std::vector<PeerSeat> rosterOf(const AvailabilityZone &zone) const;
+    [[nodiscard]] std::vector<PeerInfo> rosterOf(const AvailabilityZone &zone) const;
     [[nodiscard]] const RosterSums &rosterSums(const AvailabilityZone &zone);
-    [[nodiscard]] std::vector<PeerSeat> authoritativeRoster(const AvailabilityZone &zone,
+    [[nodiscard]] std::vector<PeerInfo> authoritativeRoster(const AvailabilityZone &zone,
                                                             TimePoint now) const;
     [[nodiscard]] bool isRosterAuthority(TimePoint now) const;
     [[nodiscard]] std::uint64_t authoritativeTotal(const AvailabilityZone &zone,
@@ -209,7 +209,8 @@
 
     NodeParts parts_;
     NodeSettings settings_;
-    NewsBudget newsBudget_; ///< Time limit of each step in which a change of the store spreads.
+    PropagationBudget
+        propagationBudget_; ///< Time limit of each step in which a change of the store spreads.
     StoreWatch configurationWatch_;
     StoreWatch endpointWatch_;
     StoreWatch peerWatch_;
--- a/include/cardamombay/serving/peer_clocks.hpp
+++ b/include/cardamombay/serving/peer_clocks.hpp
@@ -73,8 +73,8 @@
 
     /// \brief Upper bound of the time since \p peer made \p stamp.
     /// \returns nothing if the offset of its clock is unknown.
-    [[nodiscard]] std::optional<Duration> longestAge(const EntryId &peer, const ClockStamp &stamp,
-                                                     TimePoint now) const;
+    [[nodiscard]] std::optional<Duration> maxAge(const EntryId &peer, const ClockStamp &stamp,
+                                                 TimePoint now) const;
 
     /// \brief Drops entry VMs that have not been asked for a while.
     void expire(TimePoint now);
--- a/include/cardamombay/serving/peer_digests.hpp
+++ b/include/cardamombay/serving/peer_digests.hpp
@@ -69,14 +69,14 @@
 };
 
 /// \brief An entry VM and the address at which its datagrams arrive.
-struct PeerSeat
+struct PeerInfo
 {
     EntryId entry_;
     Address address_;
     AvailabilityZone zone_;
     EntryCapacity capacity_ = 0;
 
-    friend bool operator==(const PeerSeat &, const PeerSeat &) = default;
+    friend bool operator==(const PeerInfo &, const PeerInfo &) = default;
 };
 
 /// \brief Sum of the digests of several entry VMs, computed by one of them for the others.
@@ -86,7 +86,7 @@
     /// Start of the sender's process; counts from different processes are not comparable.
     Incarnation since_;
     bool isOfZone_ = false;        ///< Covers only the sender's zone, for reporters of other zones.
-    std::vector<PeerSeat> roster_; ///< Some of the entry VMs that the sum covers.
+    std::vector<PeerInfo> roster_; ///< Some of the entry VMs that the sum covers.
     /// RosterSums::total() of all entry VMs that the sender knows; 0 if unspecified.
     std::uint64_t rosterTotal_ = 0;
 
--- a/include/cardamombay/serving/roster.hpp
+++ b/include/cardamombay/serving/roster.hpp
@@ -31,7 +31,7 @@
     static constexpr std::size_t bucketCount = 256;
     using Buckets = std::bitset<bucketCount>;
 
-    explicit RosterSums(std::span<const PeerSeat> members = {});
+    explicit RosterSums(std::span<const PeerInfo> members = {});
 
     [[nodiscard]] static std::size_t bucketOf(const EntryId &entry);
 
@@ -67,7 +67,7 @@
 struct RosterBucket
 {
     std::size_t index_ = 0;
-    std::vector<PeerSeat> members_;
+    std::vector<PeerInfo> members_;
 
     friend bool operator==(const RosterBucket &, const RosterBucket &) = default;
 };
@@ -86,7 +86,7 @@
 /// \brief Answers \p question from \p members, split into parts that fit into datagrams; at least
 /// one part.
 [[nodiscard]] std::vector<RosterAnswer>
-answerTo(const RosterQuestion &question, const EntryId &from, std::span<const PeerSeat> members);
+answerTo(const RosterQuestion &question, const EntryId &from, std::span<const PeerInfo> members);
 
 /// \name JSON-RPC notifications
 /// \{
--- a/src/serving/digest_hub.cpp
+++ b/src/serving/digest_hub.cpp
@@ -41,7 +41,7 @@
         into->evacuations_ = std::move(relay.evacuations_);
 }
 
-PeerSeat peerInfoOf(const LoadDigest &digest)
+PeerInfo peerInfoOf(const LoadDigest &digest)
 {
     return {digest.from_, digest.address_, digest.zone_, digest.capacity_};
 }
@@ -71,7 +71,7 @@
 
 } // namespace
 
-DigestHub::DigestHub(PeerSeat self, Incarnation since)
+DigestHub::DigestHub(PeerInfo self, Incarnation since)
     : self_(std::move(self))
     , since_(since)
 {
@@ -128,9 +128,9 @@
     }
 }
 
-std::vector<PeerSeat> DigestHub::members() const
+std::vector<PeerInfo> DigestHub::members() const
 {
-    std::vector<PeerSeat> result;
+    std::vector<PeerInfo> result;
     for (const auto &[entry, source] : sources_) {
         if (!source.isZone_ && entry != self_.entry_)
             result.push_back(peerInfoOf(source.last_));
@@ -138,9 +138,9 @@
     return result;
 }
 
-std::vector<PeerSeat> DigestHub::roster(bool withZones, TimePoint now) const
+std::vector<PeerInfo> DigestHub::roster(bool withZones, TimePoint now) const
 {
-    std::vector<PeerSeat> result;
+    std::vector<PeerInfo> result;
     for (const auto &[entry, source] : sources_) {
         if (!source.isZone_) {
             result.push_back(peerInfoOf(source.last_));
--- a/src/serving/gateway_settings.cpp
+++ b/src/serving/gateway_settings.cpp
@@ -63,11 +63,11 @@
     auto reader = root.child(*table, "bounds");
     auto &bounds = result.bounds_;
     Duration revocation{};
-    Duration leaving = result.newsBound_;
-    Duration configuration = result.newsBound_;
+    Duration leaving = result.propagationBound_;
+    Duration configuration = result.propagationBound_;
     reader.read("leave_within", leaving, boundRange);
     reader.read("configure_within", configuration, boundRange);
-    result.newsBound_ = std::min(leaving, configuration);
+    result.propagationBound_ = std::min(leaving, configuration);
     reader.read("stop_within", result.grace_, graceRange);
     reader.read("revoke_within", revocation, boundRange);
     if (revocation > Duration::zero())
--- a/src/serving/news_budget.cpp
+++ b/src/serving/news_budget.cpp
@@ -32,9 +32,9 @@
 
 } // namespace
 
-NewsBudget newsBudget(Duration bound, bool hasReporters)
+PropagationBudget propagationBudget(Duration bound, bool hasReporters)
 {
-    NewsBudget budget;
+    PropagationBudget budget;
     budget.relayTime_ = digestPeriod * (hasReporters ? reporterHops : 1) + digestJitter;
     budget.stagger_ = hasReporters ? largeFleetStagger : Duration::zero();
     // In the worst case the last confirmation arrives as late as possible; then some entry VMs
--- a/src/serving/node.cpp
+++ b/src/serving/node.cpp
@@ -51,13 +51,14 @@
 Node::Node(NodeParts parts, NodeSettings settings)
     : parts_(parts)
     , settings_(std::move(settings))
-    , newsBudget_(newsBudget(settings_.newsBound_, false))
-    , configurationWatch_(parts.clock_, parts.store_, parts.feed_,
-                          {std::string(parts.format_.configurationTable()), newsBudget_.wait_, {}},
-                          *this)
+    , propagationBudget_(propagationBudget(settings_.propagationBound_, false))
+    , configurationWatch_(
+          parts.clock_, parts.store_, parts.feed_,
+          {std::string(parts.format_.configurationTable()), propagationBudget_.wait_, {}}, *this)
     , endpointWatch_(
           parts.clock_, parts.store_, parts.feed_,
-          {std::string(parts.format_.endpointTable()), newsBudget_.wait_, watcherPollPause}, *this)
+          {std::string(parts.format_.endpointTable()), propagationBudget_.wait_, watcherPollPause},
+          *this)
     , peerWatch_(parts.clock_, parts.store_, parts.feed_, {peerTable, {}, {}}, *this)
     , quarantineWatch_(parts.clock_, parts.store_, parts.feed_, {quarantineTable, {}, {}}, *this)
     , sendBudget_(settings_.linkMegabits_ * bytesPerMegabit * relayLinkShare)
@@ -333,7 +334,7 @@
     if (gap <= Duration::zero())
         return;
     storeAnsweredAt_ = asOf;
-    if (gap <= newsBudget_.maxGap_)
+    if (gap <= propagationBudget_.maxGap_)
         return;
     log::info(event::absenceExcused,
               {{"gap-ms", std::to_string(toMilliseconds(gap))},
@@ -408,7 +409,7 @@
     if (isPlanner || rank_)
         takeDemand();
     // The others receive nearly all changes by relay.
-    const auto watcherPause = rank_ == 0 ? watcherPollPause : newsBudget_.standbyPause_;
+    const auto watcherPause = rank_ == 0 ? watcherPollPause : propagationBudget_.standbyPause_;
     endpointWatch_.setPause(isPlanner ? plannerPollPause : watcherPause);
     if (isPlanner)
         syncQuarantines(now);
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -167,11 +167,11 @@
 
 /// The next few roster entries, so that sums stay small; successive sums cycle through the whole
 /// roster.
-std::vector<PeerSeat> Node::rosterPageOf(std::vector<PeerSeat> roster) const
+std::vector<PeerInfo> Node::rosterPageOf(std::vector<PeerInfo> roster) const
 {
     if (roster.size() <= rosterPageSize)
         return roster;
-    std::vector<PeerSeat> page;
+    std::vector<PeerInfo> page;
     for (std::size_t i = 0; i < rosterPageSize; ++i)
         page.push_back(roster[(sumsSent_ * rosterPageSize + i) % roster.size()]);
     return page;
@@ -265,7 +265,7 @@
 /// Records that a peer is alive.
 /// \returns false if \p peerInfo is this entry VM, one that has just left, or one without an
 /// address.
-bool Node::meet(const PeerSeat &peerInfo, TimePoint now)
+bool Node::meet(const PeerInfo &peerInfo, TimePoint now)
 {
     const auto left = leftAt_.find(peerInfo.entry_);
     const bool hasLeft = left != leftAt_.end() && now - left->second < peerLifetime;
--- a/src/serving/node_relays.cpp
+++ b/src/serving/node_relays.cpp
@@ -129,8 +129,9 @@
     const auto silence = std::max(configurationTracker_.timeSinceUpdate(now),
                                   endpointTracker_.timeSinceUpdate(now));
     const bool hearsRelay
-        = now - std::max(relayReceivedAt_, knowsPeersAt) < newsBudget_.relayTime_ * maxMissedRelays
-          && silence < newsBudget_.wait_ + newsBudget_.relayTime_ + ownWatchDelay();
+        = now - std::max(relayReceivedAt_, knowsPeersAt)
+              < propagationBudget_.relayTime_ * maxMissedRelays
+          && silence < propagationBudget_.wait_ + propagationBudget_.relayTime_ + ownWatchDelay();
     const bool isFirst = isLeaseStarted_ && (rank_.has_value() || parts_.lease_.isHeld());
     const bool wasWatching = std::exchange(isWatching_, isFirst || !hearsRelay);
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
@@ -144,14 +145,14 @@
 
 Duration Node::ownWatchDelay() const
 {
-    return std::min<Duration>(watchStagger * dutyPosition_, newsBudget_.stagger_);
+    return std::min<Duration>(watchStagger * dutyPosition_, propagationBudget_.stagger_);
 }
 
 void Node::setNewsBudget(bool hasReporters)
 {
-    newsBudget_ = newsBudget(settings_.newsBound_, hasReporters);
-    configurationWatch_.setWait(newsBudget_.wait_);
-    endpointWatch_.setWait(newsBudget_.wait_);
+    propagationBudget_ = propagationBudget(settings_.propagationBound_, hasReporters);
+    configurationWatch_.setWait(propagationBudget_.wait_);
+    endpointWatch_.setWait(propagationBudget_.wait_);
 }
 
 /// Watchers query the store for a newer configuration, and peers if the store rejects the call. The
@@ -195,7 +196,7 @@
     if (clocks_.isQuestionDue(digest.from_, digest.stamp_.since_, now))
         parts_.datagrams_.send(digest.address_,
                                encode(ClockQuestion{settings_.digests_.text(), readingOf(now)}));
-    const auto transitTime = clocks_.longestAge(digest.from_, digest.stamp_, now);
+    const auto transitTime = clocks_.maxAge(digest.from_, digest.stamp_, now);
     if (!transitTime) {
         digest.relay_.reset();
         return;
--- a/src/serving/node_roster.cpp
+++ b/src/serving/node_roster.cpp
@@ -25,9 +25,9 @@
 } // namespace
 
 /// \param zone empty for the whole fleet.
-std::vector<PeerSeat> Node::rosterOf(const AvailabilityZone &zone) const
+std::vector<PeerInfo> Node::rosterOf(const AvailabilityZone &zone) const
 {
-    std::vector<PeerSeat> result;
+    std::vector<PeerInfo> result;
     if (zone.isEmpty() || zone == settings_.zone_)
         result.push_back(
             {settings_.entry_, settings_.digests_, settings_.zone_, settings_.capacity()});
@@ -50,11 +50,11 @@
 /// The roster that this reporter vouches for: entry VMs of its own zone that send it digests, and
 /// its known peers of other zones. Peers of its own zone that it only knows from others are
 /// excluded: reporters that repeated such entries to each other would keep them alive forever.
-std::vector<PeerSeat> Node::authoritativeRoster(const AvailabilityZone &zone, TimePoint now) const
+std::vector<PeerInfo> Node::authoritativeRoster(const AvailabilityZone &zone, TimePoint now) const
 {
     auto result = rosterOf(zone);
     std::erase_if(result,
-                  [this](const PeerSeat &peerInfo) { return peerInfo.zone_ == settings_.zone_; });
+                  [this](const PeerInfo &peerInfo) { return peerInfo.zone_ == settings_.zone_; });
     if (!zone.isEmpty() && zone != settings_.zone_)
         return result;
     const auto heard = hub_.roster(false, now);
@@ -144,7 +144,7 @@
         return isInScope && RosterSums::bucketOf(entry) == bucket.index_
                && std::none_of(
                    bucket.members_.begin(), bucket.members_.end(),
-                   [&entry](const PeerSeat &peerInfo) { return peerInfo.entry_ == entry; });
+                   [&entry](const PeerInfo &peerInfo) { return peerInfo.entry_ == entry; });
     };
     if (std::erase_if(peers_, isGone) > 0)
         markPeersChanged();
--- a/src/serving/peer_clocks.cpp
+++ b/src/serving/peer_clocks.cpp
@@ -102,8 +102,8 @@
     known.isAnswered_ = true;
 }
 
-std::optional<Duration> PeerClocks::longestAge(const EntryId &peer, const ClockStamp &stamp,
-                                               TimePoint now) const
+std::optional<Duration> PeerClocks::maxAge(const EntryId &peer, const ClockStamp &stamp,
+                                           TimePoint now) const
 {
     const auto found = known_.find(peer);
     if (found == known_.end() || !found->second.isAnswered_ || found->second.since_ != stamp.since_)
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -339,7 +339,7 @@
     return notification(summaryMethod, {{"sum", digestObject(summary.sum_)},
                                         {"since", summary.since_.value()},
                                         {"of_zone", summary.isOfZone_},
-                                        {"roster", seatsArray(summary.roster_)},
+                                        {"roster", peerInfoArray(summary.roster_)},
                                         {"roster_total", summary.rosterTotal_}});
 }
 
@@ -356,7 +356,7 @@
     summary.sum_ = *std::move(digest);
     summary.since_ = Incarnation(numberIn(*params, "since"));
     summary.isOfZone_ = flagIn(*params, "of_zone");
-    summary.roster_ = seatsIn(params->if_contains("roster"));
+    summary.roster_ = peerInfosIn(params->if_contains("roster"));
     summary.rosterTotal_ = numberIn(*params, "roster_total");
     return summary;
 }
--- a/src/serving/roster.cpp
+++ b/src/serving/roster.cpp
@@ -32,7 +32,7 @@
 /// JSON parsers may read numbers as doubles, which hold that many bits exactly.
 constexpr std::uint64_t exactDoubleMask = (std::uint64_t{1} << 52U) - 1;
 
-std::uint64_t hashOf(const PeerSeat &peerInfo)
+std::uint64_t hashOf(const PeerInfo &peerInfo)
 {
     return stableHash(peerInfo.entry_.text() + ' ' + peerInfo.address_.text() + ' '
                       + peerInfo.zone_.text());
@@ -86,7 +86,7 @@
 {
     json::array result;
     for (const auto &bucket : buckets)
-        result.push_back(json::array{bucket.index_, seatsArray(bucket.members_)});
+        result.push_back(json::array{bucket.index_, peerInfoArray(bucket.members_)});
     return result;
 }
 
@@ -103,7 +103,7 @@
             = parts == nullptr || parts->size() != 2 ? std::nullopt : countIn(parts->at(0));
         if (!index || *index >= RosterSums::bucketCount || !parts->at(1).is_array())
             continue;
-        auto members = seatsIn(&parts->at(1));
+        auto members = peerInfosIn(&parts->at(1));
         if (members.size() == parts->at(1).get_array().size())
             result.push_back({*index, std::move(members)});
     }
@@ -112,7 +112,7 @@
 
 } // namespace
 
-RosterSums::RosterSums(std::span<const PeerSeat> members)
+RosterSums::RosterSums(std::span<const PeerInfo> members)
 {
     for (const auto &peerInfo : members) {
         const auto hash = hashOf(peerInfo);
@@ -157,7 +157,7 @@
 }
 
 std::vector<RosterAnswer> answerTo(const RosterQuestion &question, const EntryId &from,
-                                   std::span<const PeerSeat> members)
+                                   std::span<const PeerInfo> members)
 {
     const auto differing = RosterSums(members).differing(question.sums_);
     std::map<std::size_t, RosterBucket> buckets;
--- a/src/serving/seat_json.cpp
+++ b/src/serving/seat_json.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-json::array seatsArray(std::span<const PeerSeat> seats)
+json::array peerInfoArray(std::span<const PeerInfo> seats)
 {
     json::array result;
     for (const auto &seat : seats)
@@ -26,9 +26,9 @@
     return result;
 }
 
-std::vector<PeerSeat> seatsIn(const json::value *value)
+std::vector<PeerInfo> peerInfosIn(const json::value *value)
 {
-    std::vector<PeerSeat> result;
+    std::vector<PeerInfo> result;
     const auto *seats = value == nullptr ? nullptr : value->if_array();
     if (seats == nullptr)
         return result;
--- a/src/serving/seat_json.hpp
+++ b/src/serving/seat_json.hpp
@@ -11,9 +11,9 @@
 
 namespace cardamombay::serving::impl {
 
-[[nodiscard]] boost::json::array seatsArray(std::span<const PeerSeat> seats);
+[[nodiscard]] boost::json::array peerInfoArray(std::span<const PeerInfo> seats);
 
 /// \brief Entries that cannot be read are left out.
-[[nodiscard]] std::vector<PeerSeat> seatsIn(const boost::json::value *value);
+[[nodiscard]] std::vector<PeerInfo> peerInfosIn(const boost::json::value *value);
 
 } // namespace cardamombay::serving::impl
--- a/tests/crashing_requests/spread.cpp
+++ b/tests/crashing_requests/spread.cpp
@@ -106,12 +106,12 @@
     auto &suspended = fleet->node(13);
     suspended.clock_.setPaused(true);
     auto &cutOff = fleet->node(14);
-    cutOff.readsLateBy_ = seconds(60);
+    cutOff.receiveDelay_ = seconds(60);
     endThree(*fleet);
     fleet->pass(seconds(8));
     cr_assert_not(knows(*fleet, 14));
     suspended.clock_.setPaused(false);
-    cutOff.readsLateBy_ = {};
+    cutOff.receiveDelay_ = {};
     fleet->pass(seconds(1));
     cr_assert(knows(*fleet, 13));
     cr_assert(knows(*fleet, 14));
--- a/tests/evacuations/regressions.cpp
+++ b/tests/evacuations/regressions.cpp
@@ -66,7 +66,7 @@
     Fleet fleet(entries, lossShare, seed);
     fleet.nodes_.evacuate("a");
     const auto known = fleet.untilKnown(true);
-    fleet.nodes_.takeBack("a");
+    fleet.nodes_.revokeEvacuation("a");
     const auto back = fleet.untilKnown(false);
     std::printf("%zu entry VMs, %.2f of the datagrams lost: evacuated after %ld ms, back after %ld "
                 "ms\n",
@@ -138,7 +138,7 @@
     Fleet fleet(7, 0, 4);
     fleet.nodes_.evacuate("a");
     (void)fleet.untilKnown(true);
-    fleet.nodes_.takeBack("a");
+    fleet.nodes_.revokeEvacuation("a");
     (void)fleet.untilKnown(false);
     for (std::size_t i = 0; i < fleet.nodes_.size(); ++i) {
         auto &node = fleet.nodes_.node(i);
@@ -163,7 +163,7 @@
     Fleet fleet(65, lostThird, 6);
     fleet.nodes_.evacuate("a");
     fleet.nodes_.pass(milliseconds(60));
-    fleet.nodes_.takeBack("a");
+    fleet.nodes_.revokeEvacuation("a");
     fleet.nodes_.pass(evacuateWithin);
     cr_assert_eq(fleet.obeying(false), 65);
 }
--- a/tests/fleet_membership/lost_reporters.cpp
+++ b/tests/fleet_membership/lost_reporters.cpp
@@ -21,11 +21,11 @@
         fleet.node(i).clock_.setPaused(true);
     const auto since = fleet.clock_.now();
     const auto left = fleet.size() - ended - 1;
-    while (fleet.peersKnown(ended).second > left && fleet.clock_.now() - since < seconds(12))
+    while (fleet.peerCounts(ended).second > left && fleet.clock_.now() - since < seconds(12))
         fleet.pass(milliseconds(100));
     std::printf("36 of 66 entry VMs end, reporters among them: most that are known after %ld ms: "
                 "%zu of %zu\n",
                 static_cast<long>(toMilliseconds(fleet.clock_.now() - since)),
-                fleet.peersKnown(ended).second, left);
-    cr_assert_eq(fleet.peersKnown(ended).second, left);
+                fleet.peerCounts(ended).second, left);
+    cr_assert_eq(fleet.peerCounts(ended).second, left);
 }
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -346,7 +346,7 @@
         PeerClocks clocks;
         (void)clocks.isQuestionDue(answer->from_, answer->stamp_.since_, TimePoint{});
         clocks.take(*answer, TimePoint{} + std::chrono::hours(1));
-        (void)clocks.longestAge(answer->from_, answer->stamp_, TimePoint{} + std::chrono::hours(1));
+        (void)clocks.maxAge(answer->from_, answer->stamp_, TimePoint{} + std::chrono::hours(1));
     }
     (void)decodeClockQuestion(text);
     (void)decodeSilenceAlarm(text);
--- a/tests/groups/store_faults.cpp
+++ b/tests/groups/store_faults.cpp
@@ -182,7 +182,7 @@
     PlannerFleet fleet(shapeOf(1, 7, 2));
     PlannerNode &first = fleet.addNode();
     PlannerNode &second = fleet.addNode(1);
-    second.nodeStore_.losesScans_ = true;
+    second.nodeStore_.failsScans_ = true;
     serveAll(fleet, 2);
 
     first.pause();
--- a/tests/restored_store/regressions.cpp
+++ b/tests/restored_store/regressions.cpp
@@ -170,7 +170,8 @@
                 auto &node = bench.fleet_.node(i);
                 const auto age = node.clock_.now() - node.gateway_.confirmedAt();
                 const bool isConfirmed = age < bench.fleet_.clock_.now() - restoredAt;
-                if (node.honours("old") || node.configuration() != ConfigVersion(2) || isConfirmed)
+                if (node.acceptsKey("old") || node.configuration() != ConfigVersion(2)
+                    || isConfirmed)
                     return false;
             }
             return true;
@@ -179,7 +180,7 @@
     bench.fleet_.configure(2, {"new"});
     bench.fleet_.pass(seconds(2));
     for (std::size_t i = 0; i < bench.fleet_.size(); ++i)
-        cr_assert(bench.fleet_.node(i).honours("new"), "node %zu", i);
+        cr_assert(bench.fleet_.node(i).acceptsKey("new"), "node %zu", i);
 }
 
 /// A planner from before the copy and one after it must not both be obeyed: its lease ends, the
@@ -266,7 +267,7 @@
         const auto usual = bench.fleet_.storeCalls() - before;
         std::string liar; // The first one that tells of the store.
         std::size_t lies = 0;
-        bench.fleet_.spoils_ = [&, absurd](std::string &text) {
+        bench.fleet_.corrupt_ = [&, absurd](std::string &text) {
             const std::string mark = "\"endpoints\":";
             const auto from = text.find("\"from\":");
             if (from == std::string::npos || text.find("\"relay\"") == std::string::npos)
--- a/tests/serving/digests.cpp
+++ b/tests/serving/digests.cpp
@@ -19,7 +19,7 @@
 const VmId head("head");
 const TimePoint start{seconds(100)};
 
-PeerSeat peerInfo(const std::string &name, const std::string &zone = "a")
+PeerInfo peerInfo(const std::string &name, const std::string &zone = "a")
 {
     return {EntryId(name), {"10.0.0.1", 7340}, AvailabilityZone(zone)};
 }
--- a/tests/serving/node_fleet.cpp
+++ b/tests/serving/node_fleet.cpp
@@ -31,7 +31,7 @@
         if (fleet.clock_.now() - replacedAt[version] <= revocation)
             continue;
         for (std::size_t i = 0; i < fleet.size(); ++i)
-            result += fleet.node(i).honours(keyOf(version)) ? 1 : 0;
+            result += fleet.node(i).acceptsKey(keyOf(version)) ? 1 : 0;
     }
     return result;
 }
@@ -123,7 +123,7 @@
             replacedAt.push_back(fleet.clock_.now());
             for (int i = 0; i < 6; ++i) {
                 auto &node = fleet.node(fleet.random_.below(fleet.size()));
-                node.readsLateBy_ = milliseconds(fleet.random_.below(2) * 7000);
+                node.receiveDelay_ = milliseconds(fleet.random_.below(2) * 7000);
                 fleet.node(fleet.random_.below(fleet.size())).store_.isCutOff_
                     = fleet.random_.below(3) > 0;
                 fleet.node(fleet.random_.below(fleet.size()))
@@ -135,7 +135,7 @@
                              static_cast<unsigned long long>(seed),
                              static_cast<unsigned long long>(version));
                 for (std::size_t i = 0; i < fleet.size(); ++i)
-                    letIn += fleet.node(i).honours(keyOf(version)) ? 1 : 0;
+                    letIn += fleet.node(i).acceptsKey(keyOf(version)) ? 1 : 0;
             }
         }
         // Nodes do accept the current key meanwhile.
@@ -162,7 +162,7 @@
         fleet.pass(seconds(1));
         callsPerSecond.push_back(static_cast<double>(fleet.storeCalls() - atStart) / 10);
         for (std::size_t i = 0; i < fleet.size(); ++i)
-            cr_assert(fleet.node(i).honours(keyOf(21)), "node %zu", i);
+            cr_assert(fleet.node(i).acceptsKey(keyOf(21)), "node %zu", i);
     }
     std::printf("calls to the store: at the start %.1f and %.1f an entry VM, then %.1f and %.1f a "
                 "second (24 and 96 entry VMs)\n",
@@ -182,7 +182,7 @@
     cr_assert_not_null(first);
     cr_assert(first->isLarge_);
     // It still reaches the store for its lease, but receives no changes of endpoints.
-    first->readsLateBy_ = seconds(60);
+    first->receiveDelay_ = seconds(60);
     first->isFeedDown_ = true;
     FleetNode *second = nullptr;
     for (int i = 0; i < 60 && (second == nullptr || second == first); ++i) {
--- a/tests/serving/peer_clocks.cpp
+++ b/tests/serving/peer_clocks.cpp
@@ -37,10 +37,10 @@
 Test(peer_clocks, message_that_waited_in_a_queue_is_old_when_it_is_read)
 {
     PeerClocks clocks;
-    cr_assert_not(clocks.longestAge(peer, stampAt(start), start));
+    cr_assert_not(clocks.maxAge(peer, stampAt(start), start));
     exchange(clocks, start, milliseconds(2), milliseconds(2));
     const auto now = start + seconds(1);
-    const auto age = clocks.longestAge(peer, stampAt(now - milliseconds(800)), now);
+    const auto age = clocks.maxAge(peer, stampAt(now - milliseconds(800)), now);
     cr_assert(age);
     cr_assert_geq(age->count(), Duration(milliseconds(800)).count());
     cr_assert_leq(age->count(), Duration(milliseconds(803)).count());
@@ -58,7 +58,7 @@
                      microseconds(random.below(900'000)));
             now += seconds(2);
             const Duration real = microseconds(random.below(3'000'000));
-            const auto age = clocks.longestAge(peer, stampAt(now - real), now);
+            const auto age = clocks.maxAge(peer, stampAt(now - real), now);
             cr_assert(age);
             cr_assert_geq(age->count(), real.count(), "round %d", round);
         }
@@ -71,7 +71,7 @@
     exchange(clocks, start, milliseconds(1), milliseconds(1));
     exchange(clocks, start + seconds(2), milliseconds(700), milliseconds(700));
     const auto now = start + seconds(4);
-    const auto age = clocks.longestAge(peer, stampAt(now), now);
+    const auto age = clocks.maxAge(peer, stampAt(now), now);
     cr_assert(age);
     cr_assert_leq(age->count(), Duration(milliseconds(3)).count());
 }
@@ -80,9 +80,9 @@
 {
     PeerClocks clocks;
     exchange(clocks, start, milliseconds(1), milliseconds(1));
-    cr_assert_not(clocks.longestAge(peer, stampAt(start, Incarnation(8)), start));
+    cr_assert_not(clocks.maxAge(peer, stampAt(start, Incarnation(8)), start));
     clocks.take({peer, stampAt(start, Incarnation(8)), readingOf(start)}, start);
-    cr_assert_not(clocks.longestAge(peer, stampAt(start, Incarnation(8)), start));
+    cr_assert_not(clocks.maxAge(peer, stampAt(start, Incarnation(8)), start));
     cr_assert(clocks.isQuestionDue(peer, Incarnation(8), start));
 }
 
--- a/tests/serving/roster.cpp
+++ b/tests/serving/roster.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-std::vector<PeerSeat> members(std::size_t count)
+std::vector<PeerInfo> members(std::size_t count)
 {
-    std::vector<PeerSeat> result;
+    std::vector<PeerInfo> result;
     for (std::size_t i = 0; i < count; ++i)
         result.push_back({EntryId("entry-" + std::to_string(i)),
                           {"10.0.0.1", static_cast<std::uint16_t>(1000 + i)},
@@ -35,12 +35,12 @@
     fleet.start();
     fleet.pass(seconds(8));
     std::printf("500 entry VMs, 8 s after the start: %zu to %zu peers known\n",
-                fleet.peersKnown().first, fleet.peersKnown().second);
-    cr_assert_eq(fleet.peersKnown().first, 499);
+                fleet.peerCounts().first, fleet.peerCounts().second);
+    cr_assert_eq(fleet.peerCounts().first, 499);
     // Entry VMs that know fewer than half of the peers list them again.
     const auto calls = fleet.storeCalls();
     fleet.pass(seconds(3));
-    cr_assert_eq(fleet.peersKnown().first, 499);
+    cr_assert_eq(fleet.peerCounts().first, 499);
     cr_assert_leq(static_cast<double>(fleet.storeCalls() - calls), 0.02 * 500 * 3);
 }
 
@@ -56,12 +56,12 @@
         fleet.node(i).clock_.setPaused(true);
     const auto since = fleet.clock_.now();
     const auto left = fleet.size() - (ended - reporters) - 1;
-    while (fleet.peersKnown(ended).second > left && fleet.clock_.now() - since < seconds(12))
+    while (fleet.peerCounts(ended).second > left && fleet.clock_.now() - since < seconds(12))
         fleet.pass(milliseconds(100));
     std::printf("36 of 66 entry VMs end: forgotten by all after %ld ms\n",
                 static_cast<long>(toMilliseconds(fleet.clock_.now() - since)));
-    cr_assert_eq(fleet.peersKnown(ended).second, left);
-    cr_assert_eq(fleet.peersKnown(ended).first, left);
+    cr_assert_eq(fleet.peerCounts(ended).second, left);
+    cr_assert_eq(fleet.peerCounts(ended).first, left);
 }
 
 Test(roster, same_entry_vms_in_any_order_have_the_same_sums)
--- a/tests/support/node_fleet.cpp
+++ b/tests/support/node_fleet.cpp
@@ -158,7 +158,7 @@
                                    NodeSettings{entry_, zone_, incarnation, address_, isFirstStart,
                                                 isLarge_ ? largeCores : smallCores,
                                                 isLarge_ ? largeLink : smallLink,
-                                                fleet_.newsBound()});
+                                                fleet_.propagationBound()});
     node_->start();
 }
 
@@ -167,7 +167,7 @@
     return gateway_.routes() ? gateway_.routes()->version() : ConfigVersion();
 }
 
-bool FleetNode::honours(const std::string &key) const
+bool FleetNode::acceptsKey(const std::string &key) const
 {
     return gateway_.routes() && gateway_.unconfirmedFor() <= gateway_.bounds().longestUnconfirmed_
            && gateway_.routes()->team(key) != nullptr;
@@ -185,7 +185,7 @@
 
 void FleetNode::receive(std::string text)
 {
-    clock_.schedule(readsLateBy_, [this, text = std::move(text)] {
+    clock_.schedule(receiveDelay_, [this, text = std::move(text)] {
         if (handler_)
             handler_(text);
     });
@@ -335,7 +335,7 @@
     revokedEvacuations_.erase(key);
 }
 
-void NodeFleet::takeBack(const std::string &zone)
+void NodeFleet::revokeEvacuation(const std::string &zone)
 {
     const auto key = std::string(FleetFormat::evacuationMark) + zone;
     platform::Transaction transaction;
@@ -361,14 +361,14 @@
     const auto found = byAddress_.find(to);
     if (found == byAddress_.end() || random_.unit() < faults_.lossShare_)
         return;
-    if (spoils_)
-        spoils_(text);
+    if (corrupt_)
+        corrupt_(text);
     const Duration way = std::chrono::microseconds(200)
                          + fromSeconds(toSeconds(faults_.maxDelay_) * random_.unit());
     clock_.schedule(way, [node = found->second, text = std::move(text)] { node->receive(text); });
 }
 
-Duration NodeFleet::newsBound() const
+Duration NodeFleet::propagationBound() const
 {
     return nodes_.size() > maxSmallFleetSize ? largeFleetNewsBound : smallFleetNewsBound;
 }
@@ -381,7 +381,7 @@
     return result;
 }
 
-std::pair<std::size_t, std::size_t> NodeFleet::peersKnown(std::size_t first)
+std::pair<std::size_t, std::size_t> NodeFleet::peerCounts(std::size_t first)
 {
     std::pair<std::size_t, std::size_t> result{nodes_.size(), 0};
     for (std::size_t i = first; i < nodes_.size(); ++i) {
--- a/tests/support/node_fleet.hpp
+++ b/tests/support/node_fleet.hpp
@@ -105,13 +105,13 @@
 
     /// \brief Evacuates a zone, or revokes its evacuation, as operators do.
     void evacuate(const std::string &zone);
-    void takeBack(const std::string &zone);
+    void revokeEvacuation(const std::string &zone);
 
     /// \brief Writes a configuration in which \p keys are valid.
     void configure(std::uint64_t version, const std::vector<std::string> &keys);
 
     /// \brief Time within which all entry VMs must know of a change.
-    [[nodiscard]] Duration newsBound() const;
+    [[nodiscard]] Duration propagationBound() const;
 
     void deliver(const Address &to, std::string text);
     [[nodiscard]] FleetNode &node(std::size_t index) { return *nodes_[index]; }
@@ -119,7 +119,7 @@
     /// \brief Total number of calls of all nodes to the store.
     [[nodiscard]] std::size_t storeCalls() const;
     /// \brief Minimum and maximum number of peers known to a node, over all nodes from \p first on.
-    [[nodiscard]] std::pair<std::size_t, std::size_t> peersKnown(std::size_t first = 0);
+    [[nodiscard]] std::pair<std::size_t, std::size_t> peerCounts(std::size_t first = 0);
     /// \brief The node that holds the planner's lease; null if none does.
     [[nodiscard]] FleetNode *planner();
 
@@ -128,7 +128,7 @@
     FleetFormat format_;
     DatagramFaults faults_;
     std::function<void(std::string &)>
-        spoils_;              ///< If set, called with each datagram; may modify it.
+        corrupt_;             ///< If set, called with each datagram; may modify it.
     RowVersion historyStart_; ///< The store has no history of earlier changes.
     /// Removed endpoints and the versions of their removal.
     std::map<std::string, RowVersion> removedEndpoints_;
@@ -161,7 +161,7 @@
     [[nodiscard]] ConfigVersion configuration() const;
 
     /// \brief True if a request with \p key would be accepted now.
-    [[nodiscard]] bool honours(const std::string &key) const;
+    [[nodiscard]] bool acceptsKey(const std::string &key) const;
 
     /// \name DatagramChannel, TableStore, ChangeFeed
     /// \{
@@ -179,7 +179,7 @@
     Address address_;
     NodeClock clock_;
     FakeTableStore store_;
-    Duration readsLateBy_{};     ///< Time that a datagram spends in this node's receive queue.
+    Duration receiveDelay_{};    ///< Time that a datagram spends in this node's receive queue.
     bool isFeedDown_ = false;    ///< Calls for changes fail; others reach the store.
     bool isStoreSilent_ = false; ///< Calls get no answer and fail by timeout.
     std::map<std::string, Duration> scanDelays_; ///< Additional delay of listings by table.
--- a/tests/support/pausable_node.hpp
+++ b/tests/support/pausable_node.hpp
@@ -89,7 +89,7 @@
 
     /// \brief Called with each transaction just before it is sent, to provoke races.
     std::function<void(const platform::Transaction &)> beforeCommit_;
-    bool losesScans_ = false; ///< Scans fail, while reads and commits work.
+    bool failsScans_ = false; ///< Scans fail, while reads and commits work.
 
     void commit(platform::Transaction transaction, Callback<platform::CommitReceipt> done) override
     {
@@ -104,7 +104,7 @@
     }
     void scan(platform::Scan scan, Callback<platform::ScanPage> done) override
     {
-        if (losesScans_) {
+        if (failsScans_) {
             clock_.schedule(Duration::zero(), [done = std::move(done)] {
                 done(Error(StoreUnavailable{"scan", "switched off"}));
             });
