--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -201,12 +201,12 @@
 #include <cardamombay/serving/load_board.hpp>
 #include <cardamombay/serving/metered_platform.hpp>
 #include <cardamombay/serving/model_mix.hpp>
-#include <cardamombay/serving/news_budget.hpp>
 #include <cardamombay/serving/node.hpp>
 #include <cardamombay/serving/peer_clocks.hpp>
 #include <cardamombay/serving/peer_digests.hpp>
 #include <cardamombay/serving/planner_lease.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
+#include <cardamombay/serving/propagation_budget.hpp>
 #include <cardamombay/serving/repeat_window.hpp>
 #include <cardamombay/serving/replica_manager.hpp>
 #include <cardamombay/serving/replica_orders.hpp>
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -10,7 +10,7 @@
 #include <cardamombay/serving/evacuations.hpp>
 #include <cardamombay/serving/formats.hpp>
 #include <cardamombay/serving/gateway.hpp>
-#include <cardamombay/serving/news_budget.hpp>
+#include <cardamombay/serving/propagation_budget.hpp>
 #include <cardamombay/serving/peer_digests.hpp>
 #include <cardamombay/serving/replica_manager.hpp>
 #include <cardamombay/serving/reporters.hpp>
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -2,8 +2,8 @@
 
 #include "serving/notice_json.hpp"
 #include "serving/notification.hpp"
+#include "serving/peer_info_json.hpp"
 #include "serving/poison_news.hpp"
-#include "serving/seat_json.hpp"
 
 #include <cardamombay/config/address_text.hpp>
 
--- a/src/serving/seat_json.cpp
+++ b/src/serving/peer_info_json.cpp
@@ -1,4 +1,4 @@
-#include "serving/seat_json.hpp"
+#include "serving/peer_info_json.hpp"
 
 #include "serving/notification.hpp"
 
--- a/src/serving/news_budget.cpp
+++ b/src/serving/propagation_budget.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/serving/news_budget.hpp>
+#include <cardamombay/serving/propagation_budget.hpp>
 
 #include <algorithm>
 
--- a/src/serving/roster.cpp
+++ b/src/serving/roster.cpp
@@ -1,7 +1,7 @@
 #include <cardamombay/serving/roster.hpp>
 
 #include "serving/notification.hpp"
-#include "serving/seat_json.hpp"
+#include "serving/peer_info_json.hpp"
 
 #include <cardamombay/config/address_text.hpp>
 #include <cardamombay/core/hash.hpp>
