--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -10,8 +10,8 @@
 #include <cardamombay/serving/evacuations.hpp>
 #include <cardamombay/serving/formats.hpp>
 #include <cardamombay/serving/gateway.hpp>
-#include <cardamombay/serving/propagation_budget.hpp>
 #include <cardamombay/serving/peer_digests.hpp>
+#include <cardamombay/serving/propagation_budget.hpp>
 #include <cardamombay/serving/replica_manager.hpp>
 #include <cardamombay/serving/reporters.hpp>
 #include <cardamombay/serving/roster.hpp>
@@ -149,7 +149,7 @@
     void onClockQuestion(const ClockQuestion &question);
     void chooseWatches(TimePoint now);
     [[nodiscard]] Duration ownWatchDelay() const;
-    void setNewsBudget(bool hasReporters);
+    void setPropagationBudget(bool hasReporters);
     [[nodiscard]] RelayState relayState(TimePoint now) const;
     void peersChanged();
     void markPeersChanged();
@@ -209,8 +209,8 @@
 
     NodeParts parts_;
     NodeSettings settings_;
-    PropagationBudget
-        propagationBudget_; ///< Time limit of each step in which a change of the store spreads.
+    /// Time limit of each step in which a change of the store spreads.
+    PropagationBudget propagationBudget_;
     StoreWatch configurationWatch_;
     StoreWatch endpointWatch_;
     StoreWatch peerWatch_;
@@ -240,8 +240,8 @@
     LoadDigest lastDigest_; ///< The last digest sent.
     std::map<EntryId, Sum> sums_;
     std::vector<EntryId> planners_; ///< Entry VMs that may hold the planner's lease.
-    std::vector<VmId>
-        alarmedEndpoints_; ///< Stalled endpoints that the planners have been alerted to.
+    /// Stalled endpoints that the planners have been alerted to.
+    std::vector<VmId> alarmedEndpoints_;
     std::size_t sumsSent_ = 0;
     std::size_t maxPeers_ = 0;  ///< Maximum since the peers were last listed.
     TimePoint peersListedAt_{}; ///< Last listing, not counting the one at the start.
@@ -250,8 +250,8 @@
     std::size_t dutyPosition_ = 0; ///< Position of this entry VM among all, in the order of duties.
     std::optional<std::uint32_t> rank_; ///< Position among the entry VMs that watch the store for
                                         ///< all; none if it is not one of them.
-    TimePoint
-        relayReceivedAt_{}; ///< Last message from an entry VM that confirms data of the store.
+    /// Last message from an entry VM that confirms data of the store.
+    TimePoint relayReceivedAt_{};
     TimePoint configQueriedAt_{}; ///< Last query to the store for a version that a peer has.
     RowVersion peerVersion_;      ///< Version of the newest change of an endpoint that a peer has.
     TimePoint behindSince_{};     ///< When changes were first found missing; the epoch if none are.
--- a/include/cardamombay/serving/peer_clocks.hpp
+++ b/include/cardamombay/serving/peer_clocks.hpp
@@ -61,7 +61,7 @@
 /// \code
 /// if (clocks.isQuestionDue(peer, stamp.since_, now))
 ///     send(ClockQuestion{self, readingOf(now)});
-/// const auto age = clocks.longestAge(peer, stamp, now); // none before the first answer
+/// const auto age = clocks.maxAge(peer, stamp, now); // none before the first answer
 /// \endcode
 class PeerClocks
 {
--- a/include/cardamombay/serving/propagation_budget.hpp
+++ b/include/cardamombay/serving/propagation_budget.hpp
@@ -17,7 +17,7 @@
 /// \brief Time limits of the steps between the store's acknowledgement and an entry VM that doesn't
 /// watch the store.
 /// \details In the worst case all watchers lose the store right after its last confirmation. A
-/// change made then is known after longestGap_, once the others have queried the store themselves.
+/// change made then is known after maxGap_, once the others have queried the store themselves.
 struct PropagationBudget
 {
     Duration wait_{};      ///< Maximum time between two confirmations at a watcher.
@@ -34,7 +34,7 @@
 
 /// \brief Tracks the newest known confirmation of a table.
 /// \code
-/// if (confirmations.silentFor(now) > budget.wait_ + budget.relayTime_)
+/// if (confirmations.timeSinceUpdate(now) > budget.wait_ + budget.relayTime_)
 ///     watch.setActive(true);
 /// \endcode
 class ConfirmationTracker
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -125,7 +125,7 @@
     reporter_ = reporter;
     hasReporters_ = isNeeded;
     reportsSince_ = parts_.clock_.now();
-    setNewsBudget(isNeeded);
+    setPropagationBudget(isNeeded);
     parts_.board_.forgetPeers();
     sums_.clear();
     for (auto &[entry, peer] : peers_) {
--- a/src/serving/node_relays.cpp
+++ b/src/serving/node_relays.cpp
@@ -148,7 +148,7 @@
     return std::min<Duration>(watchStagger * dutyPosition_, propagationBudget_.stagger_);
 }
 
-void Node::setNewsBudget(bool hasReporters)
+void Node::setPropagationBudget(bool hasReporters)
 {
     propagationBudget_ = propagationBudget(settings_.propagationBound_, hasReporters);
     configurationWatch_.setWait(propagationBudget_.wait_);
--- a/src/serving/node_roster.cpp
+++ b/src/serving/node_roster.cpp
@@ -88,19 +88,19 @@
     const auto zone = summary.isOfZone_ ? summary.sum_.zone_ : AvailabilityZone();
     if (summary.rosterTotal_ == 0 || !isRosterSource(summary.sum_.from_, zone))
         return;
-    auto &follow = rosterComparisons_[zone];
+    auto &comparison = rosterComparisons_[zone];
     if (summary.rosterTotal_ == rosterSums(zone).total()) {
-        follow.confirmedAt_ = now;
-        follow.differsSince_.reset();
+        comparison.confirmedAt_ = now;
+        comparison.differsSince_.reset();
         return;
     }
-    if (!follow.differsSince_)
-        follow.differsSince_ = now;
-    const bool isDue = now - *follow.differsSince_ >= rosterQueryDelay
-                       && now - follow.askedAt_ >= rosterQueryInterval;
+    if (!comparison.differsSince_)
+        comparison.differsSince_ = now;
+    const bool isDue = now - *comparison.differsSince_ >= rosterQueryDelay
+                       && now - comparison.askedAt_ >= rosterQueryInterval;
     if (!isDue)
         return;
-    follow.askedAt_ = now;
+    comparison.askedAt_ = now;
     parts_.datagrams_.send(summary.sum_.address_,
                            encode(RosterQuestion{settings_.digests_, zone, rosterSums(zone)}));
 }
@@ -157,9 +157,9 @@
 {
     auto result = peer.heardAt_;
     for (const auto &zone : {AvailabilityZone(), peer.zone_}) {
-        const auto follow = rosterComparisons_.find(zone);
-        if (follow != rosterComparisons_.end())
-            result = std::max(result, follow->second.confirmedAt_);
+        const auto comparison = rosterComparisons_.find(zone);
+        if (comparison != rosterComparisons_.end())
+            result = std::max(result, comparison->second.confirmedAt_);
     }
     return result;
 }
--- a/tests/fleet_membership/lost_reporters.cpp
+++ b/tests/fleet_membership/lost_reporters.cpp
@@ -23,8 +23,8 @@
     const auto left = fleet.size() - ended - 1;
     while (fleet.peerCounts(ended).second > left && fleet.clock_.now() - since < seconds(12))
         fleet.pass(milliseconds(100));
-    std::printf("36 of 66 entry VMs end, reporters among them: most that are known after %ld ms: "
-                "%zu of %zu\n",
+    std::printf("36 of 66 entry VMs end, reporters among them: after %ld ms up to %zu peers are "
+                "known, %zu are live\n",
                 static_cast<long>(toMilliseconds(fleet.clock_.now() - since)),
                 fleet.peerCounts(ended).second, left);
     cr_assert_eq(fleet.peerCounts(ended).second, left);
--- a/tests/serving/node_fleet.cpp
+++ b/tests/serving/node_fleet.cpp
@@ -279,7 +279,7 @@
         double most = 0;
         for (std::size_t i = 0; i < fleet.size(); ++i)
             most = std::max(most, fleet.node(i).metrics_.peerUpdates_.value());
-        std::printf("%zu entry VMs start: duties dealt %g times at most\n", entries, most);
+        std::printf("%zu entry VMs start: duties assigned up to %g times\n", entries, most);
         const auto digests = (fleet.clock_.now() - started + seconds(1)) / digestPeriod;
         cr_expect_leq(most, static_cast<double>(digests));
     }
--- a/tests/serving/roster.cpp
+++ b/tests/serving/roster.cpp
@@ -58,7 +58,7 @@
     const auto left = fleet.size() - (ended - reporters) - 1;
     while (fleet.peerCounts(ended).second > left && fleet.clock_.now() - since < seconds(12))
         fleet.pass(milliseconds(100));
-    std::printf("36 of 66 entry VMs end: forgotten by all after %ld ms\n",
+    std::printf("36 of 66 entry VMs end: dropped by all others after %ld ms\n",
                 static_cast<long>(toMilliseconds(fleet.clock_.now() - since)));
     cr_assert_eq(fleet.peerCounts(ended).second, left);
     cr_assert_eq(fleet.peerCounts(ended).first, left);
--- a/tests/support/node_fleet.hpp
+++ b/tests/support/node_fleet.hpp
@@ -127,8 +127,8 @@
     FakePlatform platform_{clock_};
     FleetFormat format_;
     DatagramFaults faults_;
-    std::function<void(std::string &)>
-        corrupt_;             ///< If set, called with each datagram; may modify it.
+    /// If set, called with each datagram; may modify it.
+    std::function<void(std::string &)> corrupt_;
     RowVersion historyStart_; ///< The store has no history of earlier changes.
     /// Removed endpoints and the versions of their removal.
     std::map<std::string, RowVersion> removedEndpoints_;
