--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -205,6 +205,7 @@
 #include <cardamombay/serving/peer_digests.hpp>
 #include <cardamombay/serving/planner_lease.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
+#include <cardamombay/serving/propagation_budget.hpp>
 #include <cardamombay/serving/replica_manager.hpp>
 #include <cardamombay/serving/replica_orders.hpp>
 #include <cardamombay/serving/replica_planner.hpp>
