--- a/include/cardamombay/serving/engine_model.hpp
+++ b/include/cardamombay/serving/engine_model.hpp
@@ -22,20 +22,21 @@
 
     /// \brief Between two events of a stream while \p writers requests are in the batch.
     /// \param context mean tokens of prompt and answer that a request has.
-    [[nodiscard]] Duration pauseBetweenEvents(std::size_t writers, std::size_t context) const;
+    [[nodiscard]] Duration eventInterval(std::size_t writers, std::size_t context) const;
 
     /// \brief Mean context of a request in the batch, tokens, by the operators' declaration: the
     /// prompt and half of the answer.
-    [[nodiscard]] std::size_t usualContext() const;
+    [[nodiscard]] std::size_t meanContext() const;
 
     /// \brief Reading a prompt alone.
-    [[nodiscard]] Duration readTime(std::size_t promptTokens) const;
+    [[nodiscard]] Duration prefillTime(std::size_t promptTokens) const;
 
     /// \brief Share of a whole group's time that a request takes when the batch is full.
-    [[nodiscard]] Duration groupTime(std::size_t promptTokens, std::size_t answerTokens) const;
+    [[nodiscard]] Duration amortizedGroupTime(std::size_t promptTokens,
+                                              std::size_t answerTokens) const;
 
     /// \brief The longest pause that a healthy group with a full batch makes between two events.
-    [[nodiscard]] Duration longestPause() const;
+    [[nodiscard]] Duration maxEventInterval() const;
 
 private:
     const EngineProfile &profile_;
--- a/include/cardamombay/serving/group_view.hpp
+++ b/include/cardamombay/serving/group_view.hpp
@@ -36,7 +36,7 @@
     /// \brief True if a listed member is leaving.
     [[nodiscard]] bool hasDraining() const;
     /// \brief True if its members are in several fabric domains, which makes it slower.
-    [[nodiscard]] bool isFar() const;
+    [[nodiscard]] bool spansDomains() const;
     /// \brief State of the head; Broken if it is not listed.
     [[nodiscard]] MemberState state() const;
 };
--- a/include/cardamombay/serving/replica_orders.hpp
+++ b/include/cardamombay/serving/replica_orders.hpp
@@ -33,7 +33,7 @@
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
-    bool cutsWork_ = false; ///< Else it finishes what it has.
+    bool abortsRequests_ = false; ///< Else it finishes what it has.
 };
 
 /// \brief Leave the group at once.
@@ -96,7 +96,7 @@
     }
 
 protected:
-    void tellNotices(const EndpointLife &engine, const AnswerNotices &notices) const
+    void reportNotices(const EndpointLife &engine, const AnswerNotices &notices) const
     {
         if (noticed_)
             noticed_(engine, notices);
--- a/src/serving/balancer.cpp
+++ b/src/serving/balancer.cpp
@@ -104,7 +104,7 @@
             || !group.isComplete(model->members_) || !book_.takesRequests(*group.head_))
             continue;
         result.push_back({group.head_->id_, group.head_->address_, group.head_->bornAt_,
-                          group.model_, group.isFar() ? service.engine_->farFactor_ : 1,
+                          group.model_, group.spansDomains() ? service.engine_->farFactor_ : 1,
                           regionOf(*group.head_)});
     }
     return result;
@@ -209,10 +209,10 @@
     const auto &profile = *demand.service_->engine_;
     const EngineModel model(profile, *profile.model(candidate.model_));
     const auto pass
-        = model.pauseBetweenEvents(board_.total(candidate.endpoint_) + 1, model.usualContext());
+        = model.eventInterval(board_.total(candidate.endpoint_) + 1, model.meanContext());
     // Large prompts are no reason to wait longer than small ones: all are weighed at the usual
     // size.
-    const auto own = model.readTime(std::min(demand.promptTokens_, usualPrompt(demand)));
+    const auto own = model.prefillTime(std::min(demand.promptTokens_, usualPrompt(demand)));
     const double work = toSeconds(pass) * passesToFirstEvent + toSeconds(own);
     return fromSeconds(work * candidate.slowness_) + backlog(candidate, profile, now);
 }
--- a/src/serving/balancer_choice.cpp
+++ b/src/serving/balancer_choice.cpp
@@ -22,7 +22,7 @@
     const auto *model = service.engine_ ? service.engine_->model(name) : nullptr;
     if (model == nullptr)
         return Duration::zero();
-    const auto pause = EngineModel(*service.engine_, *model).longestPause();
+    const auto pause = EngineModel(*service.engine_, *model).maxEventInterval();
     return fromSeconds(toSeconds(pause) * slowness * stallFactor) + networkAllowance;
 }
 
--- a/src/serving/engine_model.cpp
+++ b/src/serving/engine_model.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-Duration EngineModel::pauseBetweenEvents(std::size_t writers, std::size_t context) const
+Duration EngineModel::eventInterval(std::size_t writers, std::size_t context) const
 {
     const double thousands = static_cast<double>(context) / 1000;
     const Duration perWriter
@@ -20,29 +20,29 @@
     return scaled(step, profile_.stride_ * model_.pace_);
 }
 
-std::size_t EngineModel::usualContext() const
+std::size_t EngineModel::meanContext() const
 {
     return profile_.usualPrompt_ + profile_.usualAnswer_ / 2;
 }
 
-Duration EngineModel::readTime(std::size_t promptTokens) const
+Duration EngineModel::prefillTime(std::size_t promptTokens) const
 {
     return fromSeconds(static_cast<double>(promptTokens) / profile_.readTokensPerSecond_
                        * model_.pace_);
 }
 
-Duration EngineModel::groupTime(std::size_t promptTokens, std::size_t answerTokens) const
+Duration EngineModel::amortizedGroupTime(std::size_t promptTokens, std::size_t answerTokens) const
 {
     const double events = static_cast<double>(answerTokens) / profile_.stride_;
-    const auto writing = scaled(pauseBetweenEvents(profile_.slots_, usualContext()), events);
-    return readTime(promptTokens) + writing / profile_.slots_;
+    const auto writing = scaled(eventInterval(profile_.slots_, meanContext()), events);
+    return prefillTime(promptTokens) + writing / profile_.slots_;
 }
 
-Duration EngineModel::longestPause() const
+Duration EngineModel::maxEventInterval() const
 {
     // Each step of a pass may read a chunk of the prompts that wait.
-    return pauseBetweenEvents(profile_.slots_, usualContext())
-           + readTime(profile_.promptChunk_) * profile_.stride_;
+    return eventInterval(profile_.slots_, meanContext())
+           + prefillTime(profile_.promptChunk_) * profile_.stride_;
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -231,8 +231,9 @@
     if (!service.engine_)
         return;
     if (const auto *model = service.engine_->model(head.model_))
-        demand_[model->name_] += toSeconds(EngineModel(*service.engine_, *model)
-                                               .groupTime(head.promptTokens_, likelyAnswer(head)));
+        demand_[model->name_]
+            += toSeconds(EngineModel(*service.engine_, *model)
+                             .amortizedGroupTime(head.promptTokens_, likelyAnswer(head)));
 }
 
 void Gateway::setOthersRepeats(std::map<ServiceName, RepeatCounts> counts)
--- a/src/serving/group_view.cpp
+++ b/src/serving/group_view.cpp
@@ -40,7 +40,7 @@
                        [](const Endpoint *member) { return member->isDraining_; });
 }
 
-bool GroupView::isFar() const
+bool GroupView::spansDomains() const
 {
     return std::any_of(members_.begin(), members_.end(), [this](const Endpoint *member) {
         return member->domain_ != members_.front()->domain_;
--- a/src/serving/planner_converting.cpp
+++ b/src/serving/planner_converting.cpp
@@ -54,7 +54,7 @@
     const GroupView *best = nullptr;
     for (const auto *list : {&ready_, &serving_}) {
         for (const auto *group : *list) {
-            const bool fits = group->model_ == conversion.from_->name_ && !group->isFar()
+            const bool fits = group->model_ == conversion.from_->name_ && !group->spansDomains()
                               && !lent_.contains(group->group_)
                               && !converting_.contains(group->group_)
                               && !borrowing_.contains(group->head_->domain_);
--- a/src/serving/planner_forming.cpp
+++ b/src/serving/planner_forming.cpp
@@ -128,7 +128,7 @@
 
 double Run::weightOf(const GroupView &group) const
 {
-    return group.isFar() ? 1 / input_.profile_->farFactor_ : 1;
+    return group.spansDomains() ? 1 / input_.profile_->farFactor_ : 1;
 }
 
 /// True if the far group's engines in some domain and the spares there make a group of their own.
@@ -183,7 +183,7 @@
     const double capacity = groups_.at(model.name_);
     double makingWay = 0;
     for (const auto *group : serving_) {
-        if (group->model_ != model.name_ || !group->isFar())
+        if (group->model_ != model.name_ || !group->spansDomains())
             continue;
         if (group->state() == MemberState::Open && !input_.pending_.contains(group->head_->id_)) {
             open.push_back(group);
--- a/src/serving/planner_run.cpp
+++ b/src/serving/planner_run.cpp
@@ -264,7 +264,7 @@
             leave(group, "member lost");
         return;
     }
-    if (group.isFar() && isNearPossible(group, *modelNamed(group.model_))) {
+    if (group.spansDomains() && isNearPossible(group, *modelNamed(group.model_))) {
         leave(group, "a group in one domain is possible");
         return;
     }
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -220,10 +220,12 @@
     const auto groups = groupsOf(engines);
     for (const auto &model : service.engine_->models_) {
         const auto near = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
-            return one.model_ == model.name_ && one.state() == MemberState::Open && !one.isFar();
+            return one.model_ == model.name_ && one.state() == MemberState::Open
+                   && !one.spansDomains();
         });
         const auto far = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
-            return one.model_ == model.name_ && one.state() == MemberState::Open && one.isFar();
+            return one.model_ == model.name_ && one.state() == MemberState::Open
+                   && one.spansDomains();
         });
         const auto spares = std::count_if(engines.begin(), engines.end(), [&](const Endpoint *one) {
             return !one->membership_ && one->hasStaged(model.name_);
--- a/src/serving/servable.cpp
+++ b/src/serving/servable.cpp
@@ -16,8 +16,8 @@
         return "the prompt is larger than the memory of a group";
     // An idle group reads the prompt alone, and sends its first event after one pass.
     const EngineModel engine(profile, *model);
-    const auto first = engine.readTime(demand.promptTokens_)
-                       + engine.pauseBetweenEvents(1, demand.promptTokens_);
+    const auto first
+        = engine.prefillTime(demand.promptTokens_) + engine.eventInterval(1, demand.promptTokens_);
     if (first > demand.timeLeft_)
         return "too little time for a first event";
     return std::nullopt;
--- a/tests/endpoint_cooldowns/orders.cpp
+++ b/tests/endpoint_cooldowns/orders.cpp
@@ -19,13 +19,13 @@
               Callback<OrderAnswer> done) override
     {
         ++sent_;
-        tellNotices(engine.life(), notices_);
+        reportNotices(engine.life(), notices_);
         done(OrderAnswer::Begun);
     }
     void state(const Endpoint &engine, Callback<Endpoint> done) override
     {
         ++sent_;
-        tellNotices(engine.life(), notices_);
+        reportNotices(engine.life(), notices_);
         done(engine);
     }
 
--- a/tests/serving/made_up_deployments.cpp
+++ b/tests/serving/made_up_deployments.cpp
@@ -128,7 +128,7 @@
                           || join->members_.size() == sizeOf(modelOf(join->group_)));
             }
             if (const auto *close = std::get_if<CloseOrder>(&order.order_))
-                cr_assert_not(close->cutsWork_);
+                cr_assert_not(close->abortsRequests_);
             if (std::holds_alternative<OpenOrder>(order.order_))
                 cr_assert_eq(listed(engine->membership_->group_),
                              sizeOf(modelOf(engine->membership_->group_)));
--- a/tests/serving/replica_lending.cpp
+++ b/tests/serving/replica_lending.cpp
@@ -107,7 +107,7 @@
     bench.addLender("n.2");
     auto plan = bench.plan();
     cr_assert_eq(targetsOf<CloseOrder>(plan), Names{"n.1-0"});
-    cr_assert_not(std::get<CloseOrder>(plan.front().order_).cutsWork_);
+    cr_assert_not(std::get<CloseOrder>(plan.front().order_).abortsRequests_);
     cr_assert_eq(plan.size(), 1);
 
     // While it finishes its work nothing else is asked for.
--- a/tests/serving/replica_planner.cpp
+++ b/tests/serving/replica_planner.cpp
@@ -86,7 +86,7 @@
     bench.engines_[1].isDraining_ = true;
     const auto plan = bench.plan();
     cr_assert_eq(plan.size(), 1);
-    cr_assert_not(std::get<CloseOrder>(plan.front().order_).cutsWork_);
+    cr_assert_not(std::get<CloseOrder>(plan.front().order_).abortsRequests_);
 }
 
 Test(replica_planner, staged_spares_of_a_domain_form_a_group_with_a_new_epoch)
--- a/tests/serving/tables.cpp
+++ b/tests/serving/tables.cpp
@@ -248,9 +248,9 @@
 {
     const auto profile = *gatewayConfiguration().services_.front().engine_;
     const EngineModel model(profile, profile.models_.front());
-    cr_assert_eq(toMilliseconds(model.pauseBetweenEvents(1, 0)), 42);
-    cr_assert_eq(toMilliseconds(model.readTime(5000)), 100);
-    cr_assert_geq(model.longestPause(), model.pauseBetweenEvents(profile.slots_, 1500));
+    cr_assert_eq(toMilliseconds(model.eventInterval(1, 0)), 42);
+    cr_assert_eq(toMilliseconds(model.prefillTime(5000)), 100);
+    cr_assert_geq(model.maxEventInterval(), model.eventInterval(profile.slots_, 1500));
 }
 
 Test(gateway_settings, wrong_values_are_refused_with_place_and_remedy)
