--- a/include/cardamombay/serving/engine_model.hpp
+++ b/include/cardamombay/serving/engine_model.hpp
@@ -22,7 +22,7 @@
 
     /// \brief Between two events of a stream while \p writers requests are in the batch.
     /// \param context mean tokens of prompt and answer that a request has.
-    [[nodiscard]] Duration eventInterval(std::size_t writers, std::size_t context) const;
+    [[nodiscard]] Duration eventInterval(std::size_t batchSize, std::size_t context) const;
 
     /// \brief Mean context of a request in the batch, tokens, by the operators' declaration: the
     /// prompt and half of the answer.
--- a/include/cardamombay/serving/group_heads.hpp
+++ b/include/cardamombay/serving/group_heads.hpp
@@ -19,7 +19,7 @@
 {
 public:
     /// \brief Takes what the engines list now.
-    void note(std::span<const Endpoint *const> engines);
+    void update(std::span<const Endpoint *const> engines);
 
     /// \brief Groups whose heads are listed, and in no such group any more.
     [[nodiscard]] std::set<GroupName> released(std::span<const Endpoint *const> engines) const;
--- a/include/cardamombay/serving/group_view.hpp
+++ b/include/cardamombay/serving/group_view.hpp
@@ -34,7 +34,7 @@
     /// \brief True if all \p size members are listed.
     [[nodiscard]] bool isComplete(std::size_t size) const { return members_.size() == size; }
     /// \brief True if a listed member is leaving.
-    [[nodiscard]] bool hasDraining() const;
+    [[nodiscard]] bool hasDrainingMember() const;
     /// \brief True if its members are in several fabric domains, which makes it slower.
     [[nodiscard]] bool spansDomains() const;
     /// \brief State of the head; Broken if it is not listed.
--- a/include/cardamombay/serving/model_mix.hpp
+++ b/include/cardamombay/serving/model_mix.hpp
@@ -50,7 +50,7 @@
 };
 
 /// \brief Engines keep the models that they began with.
-class KeptMix final : public ModelMix
+class FixedMix final : public ModelMix
 {
 public:
     [[nodiscard]] std::optional<Conversion> next(std::span<const ModelLoad> models) const override;
--- a/include/cardamombay/serving/replica_manager.hpp
+++ b/include/cardamombay/serving/replica_manager.hpp
@@ -56,19 +56,19 @@
 
 private:
     /// What members of a stalled group answered.
-    struct Inquiry
+    struct StateQuery
     {
-        std::size_t open_ = 0; ///< Questions without an answer yet.
-        TimePoint askedAt_{};
+        std::size_t pendingAnswers_ = 0; ///< Questions without an answer yet.
+        TimePoint sentAt_{};
         int rounds_ = 0; ///< Of questions, without a longer pause between them.
     };
 
     /// What is remembered of one service's engines.
-    struct Memory
+    struct ServiceState
     {
         GroupHeads heads_;
         std::map<VmId, TimePoint> freeSince_; ///< Engines without a group.
-        TimePoint leftOutAskedAt_{};
+        TimePoint ungroupedQueriedAt_{};
         std::size_t engineCount_ = 0; ///< Listed at the first start.
         TimePoint countedAt_{};       ///< When that changed last.
         TimePoint loggedAt_{};
@@ -76,21 +76,23 @@
 
     [[nodiscard]] std::vector<const Endpoint *>
     plannable(const std::vector<const Endpoint *> &engines) const;
-    void noteFree(Memory &memory, const std::vector<const Endpoint *> &engines) const;
-    void askLeftOut(Memory &memory, const std::vector<const Endpoint *> &engines);
-    void logCapacity(const Service &service, Memory &memory,
+    void updateFreeSince(ServiceState &serviceState,
+                         const std::vector<const Endpoint *> &engines) const;
+    void queryUngroupedEngines(ServiceState &serviceState,
+                               const std::vector<const Endpoint *> &engines);
+    void logCapacity(const Service &service, ServiceState &serviceState,
                      const std::vector<const Endpoint *> &engines);
-    void inquire(const std::vector<const Endpoint *> &engines);
-    void ask(const GroupName &group, const Endpoint &member);
-    void memberAnswered(const GroupName &group, const VmId &member, std::uint64_t bornAt,
-                        const Result<Endpoint> &answer);
+    void queryStalledGroups(const std::vector<const Endpoint *> &engines);
+    void queryMember(const GroupName &group, const Endpoint &member);
+    void onStateAnswer(const GroupName &group, const VmId &member, std::uint64_t bornAt,
+                       const Result<Endpoint> &answer);
     void planService(const Service &service);
-    [[nodiscard]] bool hasSettled(Memory &memory, std::size_t engines) const;
+    [[nodiscard]] bool isListingSettled(ServiceState &serviceState, std::size_t engines) const;
     [[nodiscard]] bool isDue(TimePoint now);
-    [[nodiscard]] PlanInput inputFor(const Service &service, const Memory &memory,
-                                     const std::vector<const Endpoint *> &engines);
+    [[nodiscard]] PlanInput planInput(const Service &service, const ServiceState &serviceState,
+                                      const std::vector<const Endpoint *> &engines);
     void send(const PlannedOrder &planned, const EngineProfile &profile);
-    void answered(const VmId &engine, const Order &order, const Result<OrderAnswer> &answer);
+    void onOrderAnswer(const VmId &engine, const Order &order, const Result<OrderAnswer> &answer);
     [[nodiscard]] std::uint64_t nextEpoch();
     void expire(TimePoint now, TimePoint listedAsOf);
 
@@ -114,21 +116,21 @@
         std::uint64_t bornAt_ = 0; ///< Of the engine.
     };
     /// Questions in a row that an engine left open.
-    struct Silence
+    struct UnansweredQueries
     {
-        std::uint32_t questions_ = 0;
+        std::uint32_t count_ = 0;
         std::uint64_t bornAt_ = 0; ///< Of the engine.
     };
 
     std::map<VmId, Load> loads_;
-    std::map<ServiceName, Memory> memories_;
-    std::map<GroupName, Inquiry> inquiries_;
-    std::map<VmId, Silence> unanswered_;
+    std::map<ServiceName, ServiceState> serviceStates_;
+    std::map<GroupName, StateQuery> stateQueries_;
+    std::map<VmId, UnansweredQueries> unansweredQueries_;
     TimePoint plannedAt_{};
     std::uint64_t plannedRevision_ = 0; ///< Of the book when the last plan was made.
     bool hadOrders_ = false;            ///< Orders were given or have ended since the last plan.
-    Epoch countedFor_;
-    std::uint64_t counter_ = 0;
+    Epoch counterEpoch_;
+    std::uint64_t epochCounter_ = 0;
     bool wasHeld_ = false;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
--- a/include/cardamombay/serving/replica_planner.hpp
+++ b/include/cardamombay/serving/replica_planner.hpp
@@ -22,14 +22,14 @@
 {
     std::span<const Endpoint *const> engines_; ///< Listed engines of the service.
     const EngineProfile *profile_ = nullptr;
-    std::set<VmId> silent_;             ///< Heads whose streams stand still.
+    std::set<VmId> stalledHeads_;       ///< Heads whose streams stand still.
     std::set<VmId> pending_;            ///< Engines with an order whose effect is not seen yet.
     std::map<VmId, GroupName> joining_; ///< Those of them that were ordered into a group.
     std::set<VmId> unresponsive_;       ///< Listed, but they do not answer; counted as missing.
-    std::set<VmId> justFreed_;          ///< Have been without a group for a moment only.
+    std::set<VmId> recentlyFreed_;      ///< Have been without a group for a moment only.
     std::map<VmId, ModelName> loading_; ///< What engines load from the weight store.
     std::set<GroupName>
-        released_;             ///< Their heads have left; members may join another group at once.
+        releasedGroups_;       ///< Their heads have left; members may join another group at once.
     bool isFirstLoad_ = false; ///< No request has come yet, so loads are fast.
     std::map<ModelName, double> demand_; ///< Groups' worth of work by model; empty if unknown.
     const ModelMix *mix_ = nullptr;      ///< None: engines keep their models.
--- a/src/serving/engine_model.cpp
+++ b/src/serving/engine_model.cpp
@@ -11,12 +11,12 @@
 
 } // namespace
 
-Duration EngineModel::eventInterval(std::size_t writers, std::size_t context) const
+Duration EngineModel::eventInterval(std::size_t batchSize, std::size_t context) const
 {
-    const double thousands = static_cast<double>(context) / 1000;
+    const double contextThousands = static_cast<double>(context) / 1000;
     const Duration perWriter
-        = profile_.perRequest_ + scaled(profile_.perThousandTokens_, thousands);
-    const Duration step = profile_.step_ + scaled(perWriter, static_cast<double>(writers));
+        = profile_.perRequest_ + scaled(profile_.perThousandTokens_, contextThousands);
+    const Duration step = profile_.step_ + scaled(perWriter, static_cast<double>(batchSize));
     return scaled(step, profile_.stride_ * model_.pace_);
 }
 
@@ -34,8 +34,8 @@
 Duration EngineModel::amortizedGroupTime(std::size_t promptTokens, std::size_t answerTokens) const
 {
     const double events = static_cast<double>(answerTokens) / profile_.stride_;
-    const auto writing = scaled(eventInterval(profile_.slots_, meanContext()), events);
-    return prefillTime(promptTokens) + writing / profile_.slots_;
+    const auto decodeTime = scaled(eventInterval(profile_.slots_, meanContext()), events);
+    return prefillTime(promptTokens) + decodeTime / profile_.slots_;
 }
 
 Duration EngineModel::maxEventInterval() const
--- a/src/serving/group_heads.cpp
+++ b/src/serving/group_heads.cpp
@@ -4,7 +4,7 @@
 
 namespace cardamombay::serving {
 
-void GroupHeads::note(std::span<const Endpoint *const> engines)
+void GroupHeads::update(std::span<const Endpoint *const> engines)
 {
     std::map<GroupName, VmId> heads;
     for (const auto *engine : engines) {
--- a/src/serving/group_view.cpp
+++ b/src/serving/group_view.cpp
@@ -34,7 +34,7 @@
     return ModelName(text.substr(0, text.rfind('.')));
 }
 
-bool GroupView::hasDraining() const
+bool GroupView::hasDrainingMember() const
 {
     return std::any_of(members_.begin(), members_.end(),
                        [](const Endpoint *member) { return member->isDraining_; });
--- a/src/serving/model_mix.cpp
+++ b/src/serving/model_mix.cpp
@@ -9,13 +9,13 @@
 /// Groups per group's worth of work, after a loss, beyond which a model gets no more of another's:
 /// the places that are free then bear the loss of a fabric domain and a burst of half of the work
 /// more.
-constexpr double enoughCoverage = 1.6;
+constexpr double sufficientCoverage = 1.6;
 
 /// A model never goes below that many groups for another one: one of them may be lost.
-constexpr double leastLeft = 2;
+constexpr double minRemainingGroups = 2;
 
 /// Groups' worth; below it a coverage says nothing.
-constexpr double leastDemand = 0.01;
+constexpr double minDemand = 0.01;
 
 } // namespace
 
@@ -23,7 +23,7 @@
 /// work.
 double ModelLoad::coverageAfterLoss(double more) const
 {
-    return std::max(0.0, groups_ + more - 1) / std::max(demand_, leastDemand);
+    return std::max(0.0, groups_ + more - 1) / std::max(demand_, minDemand);
 }
 
 /// Engines that are left over make fabric domains in which neither model repairs itself. With
@@ -35,7 +35,7 @@
     return isWhole ? from_->members_ / to_->members_ : 0;
 }
 
-std::optional<Conversion> KeptMix::next(std::span<const ModelLoad> /*models*/) const
+std::optional<Conversion> FixedMix::next(std::span<const ModelLoad> /*models*/) const
 {
     return std::nullopt;
 }
@@ -48,14 +48,14 @@
 std::optional<Conversion> DemandMix::next(std::span<const ModelLoad> models) const
 {
     std::optional<Conversion> best;
-    double least = enoughCoverage;
+    double least = sufficientCoverage;
     for (const auto &to : models) {
         if (to.coverageAfterLoss() >= least)
             continue;
         for (const auto &from : models) {
             const Conversion one{from.model_, to.model_};
-            const bool canGive
-                = from.groups_ - 1 >= leastLeft && from.coverageAfterLoss(-1) >= enoughCoverage;
+            const bool canGive = from.groups_ - 1 >= minRemainingGroups
+                                 && from.coverageAfterLoss(-1) >= sufficientCoverage;
             if (from.model_ == to.model_ || !canGive || one.groupsMade() == 0)
                 continue;
             best = one;
--- a/src/serving/planner_converting.cpp
+++ b/src/serving/planner_converting.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::vector<ModelLoad> Run::modelLoads() const
+std::vector<ModelLoad> PlannerRun::modelLoads() const
 {
     std::vector<ModelLoad> result;
     for (const auto &model : input_.profile_->models_) {
@@ -24,7 +24,7 @@
 
 /// Groups that change are counted as changed, so that each run chooses the same ones again and no
 /// more than are needed.
-void Run::convert()
+void PlannerRun::convert()
 {
     if (input_.isFirstLoad_ || input_.demand_.empty() || input_.mix_ == nullptr)
         return;
@@ -35,29 +35,29 @@
         converting_.insert(group->group_);
         groups_[group->model_] -= 1;
         groups_[conversion->to_->name_] += static_cast<double>(conversion->groupsMade());
-        if (isPrepared(*group, *conversion->to_))
-            makeWay(*group);
+        if (allHaveStaged(*group, *conversion->to_))
+            closeForConversion(*group);
         else if (group->state() == MemberState::Open)
-            prepare(*group, *conversion->to_);
+            stageForConversion(*group, *conversion->to_);
     }
 }
 
 /// The group that changes next: one that has begun to make way, or else the one that has least to
 /// load.
-const GroupView *Run::convertible(const Conversion &conversion) const
+const GroupView *PlannerRun::convertible(const Conversion &conversion) const
 {
     const auto ready = [&](const GroupView &group) {
         return std::count_if(group.members_.begin(), group.members_.end(), [&](const auto *member) {
-            return hasOrLoads(*member, *conversion.to_);
+            return hasOrLoadsModel(*member, *conversion.to_);
         });
     };
     const GroupView *best = nullptr;
     for (const auto *list : {&ready_, &serving_}) {
         for (const auto *group : *list) {
             const bool fits = group->model_ == conversion.from_->name_ && !group->spansDomains()
-                              && !lent_.contains(group->group_)
+                              && !dissolving_.contains(group->group_)
                               && !converting_.contains(group->group_)
-                              && !borrowing_.contains(group->head_->domain_);
+                              && !reclaiming_.contains(group->head_->domain_);
             if (!fits)
                 continue;
             const auto rank = [&](const GroupView &one) {
@@ -70,33 +70,33 @@
     return best;
 }
 
-bool Run::hasOrLoads(const Endpoint &engine, const Model &model) const
+bool PlannerRun::hasOrLoadsModel(const Endpoint &engine, const Model &model) const
 {
     const auto loading = input_.loading_.find(engine.id_);
     return engine.hasStaged(model.name_)
            || (loading != input_.loading_.end() && loading->second == model.name_);
 }
 
-bool Run::isPrepared(const GroupView &group, const Model &model)
+bool PlannerRun::allHaveStaged(const GroupView &group, const Model &model)
 {
     return std::all_of(group.members_.begin(), group.members_.end(),
                        [&model](const auto *member) { return member->hasStaged(model.name_); });
 }
 
-void Run::makeWay(const GroupView &group)
+void PlannerRun::closeForConversion(const GroupView &group)
 {
-    lent_.insert(group.group_);
+    dissolving_.insert(group.group_);
     if (group.state() == MemberState::Open && !input_.pending_.contains(group.head_->id_))
         order(*group.head_, CloseOrder{group.group_, group.epoch_, false},
               std::string(convertReason));
 }
 
 /// Its engines load the other model onto their hosts while they serve on.
-void Run::prepare(const GroupView &group, const Model &model)
+void PlannerRun::stageForConversion(const GroupView &group, const Model &model)
 {
     for (const auto *member : group.members_) {
-        if (!mayLoadReserve() || hasOrLoads(*member, model) || isLoading(*member)
-            || isOrdered(*member) || input_.pending_.contains(member->id_))
+        if (!mayLoadReserve() || hasOrLoadsModel(*member, model) || isLoading(*member)
+            || hasOrder(*member) || input_.pending_.contains(member->id_))
             continue;
         order(*member, StageOrder{model.name_}, std::string(convertReason), true);
     }
--- a/src/serving/planner_forming.cpp
+++ b/src/serving/planner_forming.cpp
@@ -8,23 +8,23 @@
 namespace {
 
 /// Added to the groups per need of a model, so that none takes all loads.
-constexpr double leastCoverage = 0.3;
+constexpr double coverageOffset = 0.3;
 
 /// Share of a model's capacity that may make way at once, so that the other groups bear its work: a
 /// group finishes its answers within about 3 s.
-constexpr double makingWayShare = 0.15;
+constexpr double maxClosingShare = 0.15;
 /// The same for groups that only together make one in a domain, while no others make way.
-constexpr double firstShare = 0.4;
+constexpr double maxFirstClosingShare = 0.4;
 
 } // namespace
 
 /// Groups per need; the model with the least is served worst.
-double Run::coverage(const Model &model) const
+double PlannerRun::coverage(const Model &model) const
 {
     return coverage(model, groups_.at(model.name_));
 }
 
-double Run::coverage(const Model &model, double groups) const
+double PlannerRun::coverage(const Model &model, double groups) const
 {
     const auto known = input_.demand_.find(model.name_);
     const double need = known == input_.demand_.end() ? model.share_ : known->second;
@@ -34,7 +34,7 @@
 }
 
 /// Spare engines of the domain that have the model or load it now.
-std::size_t Run::warm(const FabricDomain &domain, const Model &model) const
+std::size_t PlannerRun::countWithModel(const FabricDomain &domain, const Model &model) const
 {
     const auto free = free_.find(domain);
     if (free == free_.end())
@@ -57,18 +57,18 @@
 }
 
 /// Coverage with the groups that the spare engines of the domains make once they have loaded.
-double Run::prospect(const Model &model) const
+double PlannerRun::projectedCoverage(const Model &model) const
 {
     double groups = groups_.at(model.name_);
     for (const auto &[domain, free] : free_) {
-        const auto whole = warm(domain, model) / model.members_;
+        const auto whole = countWithModel(domain, model) / model.members_;
         groups += static_cast<double>(whole);
     }
     return coverage(model, groups);
 }
 
 /// The worst served model that enough of \p free can serve at least as soon as \p worst.
-const Model *Run::neededMost(const Engines &free, Readiness worst) const
+const Model *PlannerRun::worstServedModel(const Engines &free, Readiness worst) const
 {
     const Model *best = nullptr;
     for (const auto &model : input_.profile_->models_) {
@@ -83,19 +83,19 @@
     return best;
 }
 
-void Run::formIn(Engines &free)
+void PlannerRun::formInDomain(Engines &free)
 {
-    while (formOne(free)) {
+    while (formNextGroup(free)) {
     }
 }
 
-bool Run::formOne(Engines &free)
+bool PlannerRun::formNextGroup(Engines &free)
 {
-    const auto *model = neededMost(free, Readiness::Staged);
+    const auto *model = worstServedModel(free, Readiness::Staged);
     // Without weights at hand a group waits for its slowest load. At the first start there is
     // nothing better; later engines load one by one while they are spare.
     if (model == nullptr && input_.isFirstLoad_ && mayLoad())
-        model = firstModel(free);
+        model = initialModel(free);
     if (model == nullptr)
         return false;
     std::stable_sort(
@@ -103,12 +103,12 @@
             return readinessOf(*left, model->name_) < readinessOf(*right, model->name_);
         });
     const auto end = free.begin() + model->members_;
-    join(*model, Engines(free.begin(), end));
+    formGroup(*model, Engines(free.begin(), end));
     free.erase(free.begin(), end);
     return true;
 }
 
-void Run::join(const Model &model, const Engines &members)
+void PlannerRun::formGroup(const Model &model, const Engines &members)
 {
     JoinOrder join;
     join.epoch_ = input_.nextEpoch_();
@@ -116,8 +116,8 @@
     join.model_ = model.name_;
     for (const auto *member : members) {
         join.members_.push_back(member->id_);
-        hasGroup_.insert(member->domain_);
-        present_[member->domain_].insert(&model);
+        domainsWithGroups_.insert(member->domain_);
+        presentModels_[member->domain_].insert(&model);
     }
     for (const auto *member : members) {
         const bool loads = readinessOf(*member, model.name_) == Readiness::Empty;
@@ -126,13 +126,13 @@
     groups_[model.name_] += 1;
 }
 
-double Run::weightOf(const GroupView &group) const
+double PlannerRun::capacityOf(const GroupView &group) const
 {
     return group.spansDomains() ? 1 / input_.profile_->farFactor_ : 1;
 }
 
 /// True if the far group's engines in some domain and the spares there make a group of their own.
-bool Run::isNearPossible(const GroupView &group, const Model &model) const
+bool PlannerRun::fitsOneDomain(const GroupView &group, const Model &model) const
 {
     std::map<FabricDomain, std::size_t> able;
     for (const auto *member : group.members_)
@@ -153,14 +153,14 @@
 
 /// Groups over several domains make way for groups in one domain: the engines of several of them
 /// and the spares of a domain may make one that none of them does alone.
-void Run::reviewFar()
+void PlannerRun::consolidateGroups()
 {
     for (const auto &model : input_.profile_->models_)
-        gatherFar(model);
+        consolidate(model);
 }
 
 /// Spare engines of each domain that have the model at hand and are left over by whole groups.
-std::map<FabricDomain, std::size_t> Run::leftOver(const Model &model) const
+std::map<FabricDomain, std::size_t> PlannerRun::leftoverSpares(const Model &model) const
 {
     std::map<FabricDomain, std::size_t> result;
     for (const auto &[domain, engines] : free_) {
@@ -172,16 +172,16 @@
     return result;
 }
 
-void Run::gatherFar(const Model &model)
+void PlannerRun::consolidate(const Model &model)
 {
-    auto able = leftOver(model);
+    auto able = leftoverSpares(model);
     const auto count = [&able](const GroupView &group) {
         for (const auto *member : group.members_)
             ++able[member->domain_];
     };
     std::vector<const GroupView *> open;
     const double capacity = groups_.at(model.name_);
-    double makingWay = 0;
+    double closingCapacity = 0;
     for (const auto *group : serving_) {
         if (group->model_ != model.name_ || !group->spansDomains())
             continue;
@@ -189,13 +189,13 @@
             open.push_back(group);
             continue;
         }
-        makingWay += weightOf(*group);
+        closingCapacity += capacityOf(*group);
         count(*group);
     }
     std::set<FabricDomain> domains;
     for (const auto &[domain, engines] : able) {
         if (engines >= model.members_)
-            gathering_.insert(domain);
+            consolidating_.insert(domain);
         domains.insert(domain);
     }
     for (const auto *group : open) {
@@ -203,18 +203,18 @@
             domains.insert(member->domain_);
     }
     for (const auto &domain : domains) {
-        if (gathering_.contains(domain))
+        if (consolidating_.contains(domain))
             continue;
-        const auto chosen = completing(model, domain, able[domain], open);
+        const auto chosen = groupsToConsolidate(model, domain, able[domain], open);
         const auto weight
             = static_cast<double>(chosen.size()) / std::max(1.0, input_.profile_->farFactor_);
-        const bool isBearable = makingWay == 0
-                                    ? chosen.size() == 1 || weight <= capacity * firstShare
-                                    : makingWay + weight <= capacity * makingWayShare;
-        if (chosen.empty() || !isBearable)
+        const bool isWithinLimit
+            = closingCapacity == 0 ? chosen.size() == 1 || weight <= capacity * maxFirstClosingShare
+                                   : closingCapacity + weight <= capacity * maxClosingShare;
+        if (chosen.empty() || !isWithinLimit)
             continue;
-        makingWay += weight;
-        gathering_.insert(domain);
+        closingCapacity += weight;
+        consolidating_.insert(domain);
         for (const auto *group : chosen) {
             count(*group);
             std::erase(open, group);
@@ -226,9 +226,10 @@
 
 /// The fewest of \p open whose engines in \p domain, with \p able others there, make a group; none
 /// if all do not.
-std::vector<const GroupView *> Run::completing(const Model &model, const FabricDomain &domain,
-                                               std::size_t able,
-                                               std::vector<const GroupView *> open)
+std::vector<const GroupView *> PlannerRun::groupsToConsolidate(const Model &model,
+                                                               const FabricDomain &domain,
+                                                               std::size_t able,
+                                                               std::vector<const GroupView *> open)
 {
     const auto inDomain = [&domain](const GroupView *group) {
         return static_cast<std::size_t>(
@@ -251,18 +252,18 @@
 /// Spares of all domains that have the model at hand, those first whose domain has the most. Those
 /// that were freed just now wait for others of their domain: of 3,300 joins on a day with many
 /// losses 700 were to groups over domains that were given up before they opened.
-Run::Engines Run::spares(const Model &model) const
+PlannerRun::Engines PlannerRun::settledSpares(const Model &model) const
 {
     std::vector<Engines> byDomain;
     for (const auto &[domain, engines] : free_) {
         // They wait for the engines that their own domain lends them or far groups give back.
-        if (borrowing_.contains(domain) || gathering_.contains(domain))
+        if (reclaiming_.contains(domain) || consolidating_.contains(domain))
             continue;
         Engines warm;
         std::copy_if(engines.begin(), engines.end(), std::back_inserter(warm),
                      [this, &model](const Endpoint *engine) {
                          return readinessOf(*engine, model.name_) != Readiness::Empty
-                                && !input_.justFreed_.contains(engine->id_);
+                                && !input_.recentlyFreed_.contains(engine->id_);
                      });
         byDomain.push_back(std::move(warm));
     }
@@ -276,15 +277,15 @@
 }
 
 /// Survivors in several domains serve together, slower, until one of the domains has enough.
-void Run::formFar()
+void PlannerRun::formAcrossDomains()
 {
     if (input_.isFirstLoad_)
         return;
     for (const auto &model : input_.profile_->models_) {
-        auto engines = spares(model);
+        auto engines = settledSpares(model);
         while (engines.size() >= model.members_) {
             const Engines members(engines.begin(), engines.begin() + model.members_);
-            join(model, members);
+            formGroup(model, members);
             engines.erase(engines.begin(), engines.begin() + model.members_);
             for (const auto *member : members)
                 std::erase(free_[member->domain_], member);
@@ -294,26 +295,26 @@
 
 /// What a load brings for each second of it, with those that the domain lacks beside it for another
 /// group of the model.
-double Run::worthOfLoad(const FabricDomain &domain, const Model &model) const
+double PlannerRun::loadBenefit(const FabricDomain &domain, const Model &model) const
 {
-    const auto missing = model.members_ - warm(domain, model) % model.members_;
+    const auto missing = model.members_ - countWithModel(domain, model) % model.members_;
     const double seconds = toSeconds(model.load_) * static_cast<double>(missing);
-    return 1 / ((leastCoverage + prospect(model)) * std::max(seconds, 0.001));
+    return 1 / ((coverageOffset + projectedCoverage(model)) * std::max(seconds, 0.001));
 }
 
-bool Run::needsLoad(const Endpoint &engine) const
+bool PlannerRun::needsLoad(const Endpoint &engine) const
 {
-    return engine.staged_.empty() && !isOrdered(engine) && !isLoading(engine);
+    return engine.staged_.empty() && !hasOrder(engine) && !isLoading(engine);
 }
 
 /// At the first start the domains come one after the other, each begun by a whole group; what is
 /// left over loads what the groups that lose most with an engine have.
-void Run::loadAtStart(const Engines &free)
+void PlannerRun::loadAtStart(const Engines &free)
 {
     for (const auto *engine : free) {
-        if (!hasGroup_.contains(engine->domain_) || !needsLoad(*engine))
+        if (!domainsWithGroups_.contains(engine->domain_) || !needsLoad(*engine))
             continue;
-        const auto *reserve = reserveOf(engine->domain_);
+        const auto *reserve = reserveModel(engine->domain_);
         const auto *model = reserve != nullptr ? reserve : modelToLoad(engine->domain_);
         if (model != nullptr)
             order(*engine, StageOrder{model->name_}, "spare", true);
@@ -321,7 +322,7 @@
 }
 
 /// One load after the other goes where it brings the most.
-void Run::loadSpares()
+void PlannerRun::loadSpares()
 {
     while (mayLoad()) {
         const Endpoint *best = nullptr;
@@ -332,11 +333,11 @@
                 = std::find_if(engines.begin(), engines.end(),
                                [this](const Endpoint *engine) { return needsLoad(*engine); });
             const auto *model = empty == engines.end() ? nullptr : modelToLoad(domain);
-            if (model == nullptr || worthOfLoad(domain, *model) <= most)
+            if (model == nullptr || loadBenefit(domain, *model) <= most)
                 continue;
             best = *empty;
             bestModel = model;
-            most = worthOfLoad(domain, *model);
+            most = loadBenefit(domain, *model);
         }
         if (best == nullptr)
             return;
@@ -346,12 +347,12 @@
 
 /// Spare engines that have the model on their host load it into memory, alone: in a group that
 /// takes the place of a broken one they are ready after 0.2 s in place of 1.6.
-void Run::warmUp(const Engines &free)
+void PlannerRun::warmUpSpares(const Engines &free)
 {
     for (const auto *engine : free) {
         const auto *model = engine->staged_.empty() ? nullptr : modelNamed(engine->staged_.front());
         // What is in memory would make way for it, and serves at once.
-        if (model == nullptr || isOrdered(*engine) || !engine->model_.isEmpty())
+        if (model == nullptr || hasOrder(*engine) || !engine->model_.isEmpty())
             continue;
         JoinOrder join;
         join.epoch_ = input_.nextEpoch_();
--- a/src/serving/planner_lending.cpp
+++ b/src/serving/planner_reclaiming.cpp
@@ -10,17 +10,17 @@
 
 /// Groups per group's worth of work below which a model is short: its groups are nearly full then.
 /// Lending only below 1.5, also where survivors wait, cost 0.015 of a day's worth (s.e. 0.018).
-constexpr double enoughCoverage = 1.3;
+constexpr double sufficientCoverage = 1.3;
 
 /// The loads at once divided by this may be reserves; the rest is for engines that have nothing.
 constexpr std::uint32_t reserveLoadsDivisor = 2;
 
 } // namespace
 
-void Run::notePresent()
+void PlannerRun::recordPresentModels()
 {
     for (const auto *engine : engines_) {
-        auto &present = present_[engine->domain_];
+        auto &present = presentModels_[engine->domain_];
         const auto note = [&](const ModelName &name) {
             if (const auto *model = modelNamed(name))
                 present.insert(model);
@@ -29,7 +29,7 @@
         if (engine->membership_)
             note(modelOf(engine->membership_->group_));
         for (const auto &model : engine->staged_) {
-            if (!isPreparedFor(*engine, model))
+            if (!isStagedForConversion(*engine, model))
                 note(model);
         }
     }
@@ -37,7 +37,7 @@
 
 /// True if the host of a member has \p model for the case that its group is converted. Its domain
 /// does not serve that model yet, and engines that come empty load the domain's own.
-bool Run::isPreparedFor(const Endpoint &engine, const ModelName &model) const
+bool PlannerRun::isStagedForConversion(const Endpoint &engine, const ModelName &model) const
 {
     const auto *staged = modelNamed(model);
     const auto *own
@@ -46,10 +46,10 @@
 }
 
 /// The model that engines of smaller groups keep on their hosts; null in a domain of one model.
-const Model *Run::reserveOf(const FabricDomain &domain) const
+const Model *PlannerRun::reserveModel(const FabricDomain &domain) const
 {
-    const auto found = present_.find(domain);
-    if (found == present_.end() || found->second.size() < 2)
+    const auto found = presentModels_.find(domain);
+    if (found == presentModels_.end() || found->second.size() < 2)
         return nullptr;
     return *std::max_element(
         found->second.begin(), found->second.end(),
@@ -57,7 +57,7 @@
 }
 
 /// True if beside a group of \p model the domain has room for a group of a smaller one.
-bool Run::leavesALender(const Model &model, std::size_t engines) const
+bool PlannerRun::leavesRoomForSmaller(const Model &model, std::size_t engines) const
 {
     const auto &models = input_.profile_->models_;
     return std::any_of(models.begin(), models.end(), [&](const Model &one) {
@@ -68,36 +68,37 @@
 /// True if a domain of \p engines is better filled with groups of several models: groups of the
 /// largest one would take all of its engines and leave no spare, so that each loss takes a whole
 /// group until another engine has loaded.
-bool Run::isMixedBest(std::size_t engines) const
+bool PlannerRun::shouldMixModels(std::size_t engines) const
 {
     const auto &models = input_.profile_->models_;
     const auto largest
         = std::max_element(models.begin(), models.end(), [](const Model &left, const Model &right) {
               return left.members_ < right.members_;
           });
-    return largest != models.end() && leavesALender(*largest, engines)
+    return largest != models.end() && leavesRoomForSmaller(*largest, engines)
            && engines % largest->members_ == 0;
 }
 
 /// The model that a domain without any begins with, or goes on with.
-const Model *Run::firstModel(const Engines &free) const
+const Model *PlannerRun::initialModel(const Engines &free) const
 {
     if (free.empty())
         return nullptr;
-    if (!isMixedBest(domainSize_)) {
+    if (!shouldMixModels(domainSize_)) {
         const auto found = domainModels_.find(free.front()->domain_);
         const auto *model = found == domainModels_.end() ? nullptr : found->second;
         return model != nullptr && free.size() >= model->members_ ? model : nullptr;
     }
     // The largest comes first: engines are listed one after the other, and the small groups would
     // leave no room for it.
-    const auto present = present_.find(free.front()->domain_);
-    const bool isBegun = present != present_.end() && !present->second.empty();
-    const bool hasLender = isBegun && present->second.size() > 1;
+    const auto present = presentModels_.find(free.front()->domain_);
+    const bool isBegun = present != presentModels_.end() && !present->second.empty();
+    const bool hasSmallerGroups = isBegun && present->second.size() > 1;
     const Model *best = nullptr;
     for (const auto &model : input_.profile_->models_) {
-        const bool isLarge = leavesALender(model, domainSize_);
-        const bool hasRoom = hasLender || !isLarge || leavesALender(model, free.size());
+        const bool isLarge = leavesRoomForSmaller(model, domainSize_);
+        const bool hasRoom
+            = hasSmallerGroups || !isLarge || leavesRoomForSmaller(model, free.size());
         if (free.size() < model.members_ || !hasRoom || (!isBegun && !isLarge))
             continue;
         if (best == nullptr || coverage(model) < coverage(*best))
@@ -107,14 +108,14 @@
 }
 
 /// The model that an engine without any loads.
-const Model *Run::modelToLoad(const FabricDomain &domain)
+const Model *PlannerRun::modelToLoad(const FabricDomain &domain)
 {
-    const auto &present = present_[domain];
+    const auto &present = presentModels_[domain];
     if (present.empty())
         return domainModels_[domain];
     return *std::max_element(present.begin(), present.end(),
                              [&](const Model *left, const Model *right) {
-                                 return worthOfLoad(domain, *left) < worthOfLoad(domain, *right);
+                                 return loadBenefit(domain, *left) < loadBenefit(domain, *right);
                              });
 }
 
@@ -122,32 +123,32 @@
 /// model is served better: a load takes 12 to 16 s, a group that finishes its work about 3. Without
 /// this callers get 0.16 less of a day's worth (standard error 0.04, 12 paired plays of 48
 /// engines).
-void Run::lend()
+void PlannerRun::reclaim()
 {
     if (input_.demand_.empty())
         return;
-    for (const auto &[domain, present] : present_) {
-        if (const auto *model = reserveOf(domain))
-            lendTo(*model, domain);
+    for (const auto &[domain, present] : presentModels_) {
+        if (const auto *model = reserveModel(domain))
+            reclaimFor(*model, domain);
     }
 }
 
-void Run::lendTo(const Model &model, const FabricDomain &domain)
+void PlannerRun::reclaimFor(const Model &model, const FabricDomain &domain)
 {
     const auto &free = free_[domain];
     const auto able = static_cast<std::size_t>(
         std::count_if(free.begin(), free.end(), [&model](const Endpoint *engine) {
             return readinessOf(*engine, model.name_) != Readiness::Empty;
         }));
-    if (able >= model.members_ || (able == 0 && coverage(model) >= enoughCoverage))
+    if (able >= model.members_ || (able == 0 && coverage(model) >= sufficientCoverage))
         return;
-    const auto lending = lenders(model, domain, model.members_ - able);
-    if (lending.empty())
+    const auto selected = groupsToReclaim(model, domain, model.members_ - able);
+    if (selected.empty())
         return;
-    borrowing_.insert(domain);
-    for (const auto *group : lending) {
-        lent_.insert(group->group_);
-        groups_[group->model_] -= weightOf(*group);
+    reclaiming_.insert(domain);
+    for (const auto *group : selected) {
+        dissolving_.insert(group->group_);
+        groups_[group->model_] -= capacityOf(*group);
         if (group->state() == MemberState::Open && !input_.pending_.contains(group->head_->id_))
             order(*group->head_, CloseOrder{group->group_, group->epoch_, false},
                   "its engines complete a larger group");
@@ -156,8 +157,9 @@
 
 /// Groups of \p domain whose engines make up for \p missing ones; none if that would serve another
 /// model worse than \p model is served now.
-std::vector<const GroupView *> Run::lenders(const Model &model, const FabricDomain &domain,
-                                            std::size_t missing) const
+std::vector<const GroupView *> PlannerRun::groupsToReclaim(const Model &model,
+                                                           const FabricDomain &domain,
+                                                           std::size_t missing) const
 {
     std::vector<const GroupView *> groups;
     for (const auto *list : {&ready_, &serving_}) {
@@ -191,7 +193,7 @@
     return missing == 0 ? result : std::vector<const GroupView *>();
 }
 
-bool Run::mayLoadReserve() const
+bool PlannerRun::mayLoadReserve() const
 {
     return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_ / reserveLoadsDivisor;
 }
@@ -200,14 +202,14 @@
 /// model that they serve. Without this callers get 0.25 less of a day's worth (standard error 0.03,
 /// 12 paired plays of 48 engines); with a reserve of a part of the groups 0.047 less (0.013, 35
 /// plays).
-void Run::stageReserve()
+void PlannerRun::stageReserveModels()
 {
     for (const auto *list : {&ready_, &serving_}) {
         for (const auto *group : *list) {
             for (const auto *member : group->members_) {
-                const auto *model = reserveOf(member->domain_);
+                const auto *model = reserveModel(member->domain_);
                 if (model == nullptr || !mayLoadReserve() || model->name_ == group->model_
-                    || member->hasStaged(model->name_) || isLoading(*member) || isOrdered(*member)
+                    || member->hasStaged(model->name_) || isLoading(*member) || hasOrder(*member)
                     || input_.pending_.contains(member->id_))
                     continue;
                 order(*member, StageOrder{model->name_}, "reserve", true);
--- a/src/serving/planner_run.cpp
+++ b/src/serving/planner_run.cpp
@@ -12,7 +12,7 @@
     return engine.hasStaged(model) ? Readiness::Staged : Readiness::Empty;
 }
 
-void Run::order(const Endpoint &engine, Order order, std::string reason, bool loads)
+void PlannerRun::order(const Endpoint &engine, Order order, std::string reason, bool loads)
 {
     result_.push_back({engine.id_, std::move(order), std::move(reason), loads});
     loads_ += loads ? 1 : 0;
@@ -20,65 +20,65 @@
 
 /// Before the first traffic loads take a tenth of their time and do not slow each other down; all
 /// 54 engines of a deployment had their weights when traffic came, in place of 42 with the limit.
-bool Run::mayLoad() const
+bool PlannerRun::mayLoad() const
 {
     return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_;
 }
 
-bool Run::isLoading(const Endpoint &engine) const
+bool PlannerRun::isLoading(const Endpoint &engine) const
 {
     return input_.loading_.contains(engine.id_);
 }
 
-bool Run::isOrdered(const Endpoint &engine) const
+bool PlannerRun::hasOrder(const Endpoint &engine) const
 {
     return std::any_of(result_.begin(), result_.end(),
                        [&engine](const PlannedOrder &one) { return one.engine_ == engine.id_; });
 }
 
-const Model *Run::modelNamed(const ModelName &name) const
+const Model *PlannerRun::modelNamed(const ModelName &name) const
 {
     return input_.profile_->model(name);
 }
 
-Plan Run::plan()
+Plan PlannerRun::plan()
 {
     Engines members;
     for (const auto *engine : engines_) {
         if (!engine->membership_ || isReleased(*engine)) {
-            offer(*engine);
+            addIfFree(*engine);
             continue;
         }
-        hasGroup_.insert(engine->domain_);
+        domainsWithGroups_.insert(engine->domain_);
         members.push_back(engine);
     }
     const auto groups = groupsOf(members);
     for (const auto &group : groups)
         review(group);
-    lend();
+    reclaim();
     convert();
     openReady();
-    reviewFar();
+    consolidateGroups();
     for (auto &[domain, engines] : free_) {
-        formIn(engines);
+        formInDomain(engines);
         // At the first start a domain is filled before the next one is begun: full domains repair
         // themselves without a load.
         if (input_.isFirstLoad_)
             loadAtStart(engines);
     }
-    formFar();
+    formAcrossDomains();
     if (!input_.isFirstLoad_)
         loadSpares();
     for (const auto &[domain, engines] : free_)
-        warmUp(engines);
-    stageReserve();
+        warmUpSpares(engines);
+    stageReserveModels();
     return std::move(result_);
 }
 
 /// A model's need of domains against that of others: its share of the work, more for the engines
 /// that its groups leave over. Losses leave any number below the size of a group, half of it at the
 /// mean.
-double Run::needOfDomains(const Model &model) const
+double PlannerRun::domainWeight(const Model &model) const
 {
     const double size = std::max<double>(static_cast<double>(domainSize_), model.members_);
     const double stranded = (model.members_ - 1) / 2.0;
@@ -87,7 +87,7 @@
 
 /// The model that the engines of each fabric domain serve. Groups of one model side by side repair
 /// each other: survivors of two broken groups form a whole one at once, without a load.
-std::map<FabricDomain, const Model *> Run::domainModels()
+std::map<FabricDomain, const Model *> PlannerRun::domainModels()
 {
     std::map<FabricDomain, std::map<ModelName, int>> staged;
     std::map<ModelName, double> domains;
@@ -111,13 +111,13 @@
     }
     // Domains are apportioned by the rounding that favours neither large nor small shares: by the
     // half domain that is next. Six domains of 9 make four for groups of 4 and two for groups of 3.
-    const auto turnOf
-        = [&](const Model &model) { return (domains[model.name_] + 0.5) / needOfDomains(model); };
+    const auto quotientOf
+        = [&](const Model &model) { return (domains[model.name_] + 0.5) / domainWeight(model); };
     for (auto &[domain, wanted] : result) {
         if (wanted != nullptr)
             continue;
         for (const auto &model : input_.profile_->models_) {
-            if (wanted == nullptr || turnOf(model) < turnOf(*wanted))
+            if (wanted == nullptr || quotientOf(model) < quotientOf(*wanted))
                 wanted = &model;
         }
         if (wanted != nullptr)
@@ -127,16 +127,16 @@
 }
 
 /// An engine that may get a new place.
-void Run::offer(const Endpoint &engine)
+void PlannerRun::addIfFree(const Endpoint &engine)
 {
     if (!engine.isDraining_ && !input_.pending_.contains(engine.id_))
         free_[engine.domain_].push_back(&engine);
 }
 
 /// True if the head of the engine's group has left it, so that nothing can begin there.
-bool Run::isReleased(const Endpoint &engine) const
+bool PlannerRun::isReleased(const Endpoint &engine) const
 {
-    return engine.membership_ && input_.released_.contains(engine.membership_->group_);
+    return engine.membership_ && input_.releasedGroups_.contains(engine.membership_->group_);
 }
 
 /// Without its head a group serves nothing, and the others may join another one at once. Each step
@@ -144,7 +144,7 @@
 /// engines that left before they joined kept a planner's view 1 s old for 4 s. If the head is lost,
 /// all others leave: it may still serve, cut off from here, or an order to open may still be on
 /// its way to it; without its members nothing begins there.
-void Run::leave(const GroupView &group, std::string_view reason)
+void PlannerRun::dissolve(const GroupView &group, std::string_view reason)
 {
     if (group.head_ != nullptr) {
         if (!input_.pending_.contains(group.head_->id_))
@@ -157,7 +157,7 @@
     }
 }
 
-void Run::review(const GroupView &group)
+void PlannerRun::review(const GroupView &group)
 {
     if (isWarmUp(group.group_)) {
         reviewWarmUp(group);
@@ -168,16 +168,16 @@
         if (group.head_ != nullptr && group.state() == MemberState::Open)
             order(*group.head_, CloseOrder{group.group_, group.epoch_, false}, "model not wanted");
         else if (group.head_ != nullptr && group.state() != MemberState::Closing)
-            leave(group, "model not wanted");
+            dissolve(group, "model not wanted");
         return;
     }
-    const bool isComplete = group.isComplete(model->members_) && !group.hasDraining();
-    if (isGathering(group, *model)) {
+    const bool isComplete = group.isComplete(model->members_) && !group.hasDrainingMember();
+    if (isAssembling(group, *model)) {
         groups_[model->name_] += 1;
         return;
     }
     if (group.head_ == nullptr) {
-        leave(group, "head lost");
+        dissolve(group, "head lost");
         return;
     }
     switch (group.state()) {
@@ -195,10 +195,10 @@
                 [this](const Endpoint *member) { return input_.pending_.contains(member->id_); }))
             groups_[model->name_] += 1;
         else
-            leave(group, "not all members join");
+            dissolve(group, "not all members join");
         break;
     case MemberState::Broken:
-        leave(group, "broken");
+        dissolve(group, "broken");
         break;
     }
 }
@@ -207,7 +207,7 @@
 /// their steps one after the other: of 18 groups that were ordered at one moment 4 were given up
 /// within 40 ms, since their first members were listed before the others. Without this callers get
 /// 0.064 less of a day's worth (standard error 0.024, 12 paired plays of 48 engines).
-bool Run::isGathering(const GroupView &group, const Model &model) const
+bool PlannerRun::isAssembling(const GroupView &group, const Model &model) const
 {
     const auto missing
         = std::count_if(input_.joining_.begin(), input_.joining_.end(), [&](const auto &entry) {
@@ -216,36 +216,36 @@
                                      [&](const Endpoint *one) { return one->id_ == entry.first; });
           });
     const auto listed = group.members_.size();
-    return missing > 0 && !group.hasDraining()
+    return missing > 0 && !group.hasDrainingMember()
            && listed + static_cast<std::size_t>(missing) == model.members_;
 }
 
 /// An engine that has loaded its model is spare again.
-void Run::reviewWarmUp(const GroupView &group)
+void PlannerRun::reviewWarmUp(const GroupView &group)
 {
     const bool isLoading = group.state() == MemberState::Joining;
-    if (!isLoading || group.hasDraining() || modelNamed(group.model_) == nullptr)
-        leave(group, "weights are loaded");
+    if (!isLoading || group.hasDrainingMember() || modelNamed(group.model_) == nullptr)
+        dissolve(group, "weights are loaded");
 }
 
-void Run::reviewServing(const GroupView &group, bool isComplete)
+void PlannerRun::reviewServing(const GroupView &group, bool isComplete)
 {
     if (isComplete) {
-        groups_[group.model_] += weightOf(group);
+        groups_[group.model_] += capacityOf(group);
         serving_.push_back(&group);
         return;
     }
     // A group that stands still cannot finish its work. A member that is leaving, also one that is
     // no longer listed, stays until its group has finished.
-    if (input_.silent_.contains(group.head_->id_) || hasUnresponsive(group)) {
-        leave(group, "member lost");
+    if (input_.stalledHeads_.contains(group.head_->id_) || hasUnresponsive(group)) {
+        dissolve(group, "member lost");
         return;
     }
     if (group.state() == MemberState::Open && !input_.pending_.contains(group.head_->id_))
         order(*group.head_, CloseOrder{group.group_, group.epoch_, false}, "member leaving");
 }
 
-bool Run::hasUnresponsive(const GroupView &group) const
+bool PlannerRun::hasUnresponsive(const GroupView &group) const
 {
     return std::any_of(input_.engines_.begin(), input_.engines_.end(),
                        [this, &group](const Endpoint *engine) {
@@ -254,30 +254,30 @@
                        });
 }
 
-void Run::reviewReady(const GroupView &group, bool isComplete)
+void PlannerRun::reviewReady(const GroupView &group, bool isComplete)
 {
     if (!isComplete) {
         const bool isSettling = std::any_of(
             group.members_.begin(), group.members_.end(),
             [this](const Endpoint *member) { return input_.pending_.contains(member->id_); });
         if (!isSettling)
-            leave(group, "member lost");
+            dissolve(group, "member lost");
         return;
     }
-    if (group.spansDomains() && isNearPossible(group, *modelNamed(group.model_))) {
-        leave(group, "a group in one domain is possible");
+    if (group.spansDomains() && fitsOneDomain(group, *modelNamed(group.model_))) {
+        dissolve(group, "a group in one domain is possible");
         return;
     }
-    groups_[group.model_] += weightOf(group);
+    groups_[group.model_] += capacityOf(group);
     ready_.push_back(&group);
 }
 
 /// Groups whose engines are lent have finished their work; the others serve.
-void Run::openReady()
+void PlannerRun::openReady()
 {
     for (const auto *group : ready_) {
-        if (lent_.contains(group->group_)) {
-            leave(*group, "its engines are needed for other groups");
+        if (dissolving_.contains(group->group_)) {
+            dissolve(*group, "its engines are needed for other groups");
             continue;
         }
         const bool areAllReady = std::all_of(
--- a/src/serving/planner_run.hpp
+++ b/src/serving/planner_run.hpp
@@ -17,10 +17,10 @@
 [[nodiscard]] Readiness readinessOf(const Endpoint &engine, const ModelName &model);
 
 /// \brief One run of the planner: reviews the groups, then forms new ones from what is free.
-class Run
+class PlannerRun
 {
 public:
-    explicit Run(const PlanInput &input)
+    explicit PlannerRun(const PlanInput &input)
         : input_(input)
         , loads_(input.loading_.size())
     {
@@ -31,7 +31,7 @@
                 engines_.push_back(engine);
         }
         domainModels_ = domainModels();
-        notePresent();
+        recordPresentModels();
     }
 
     Plan plan();
@@ -40,53 +40,53 @@
     using Engines = std::vector<const Endpoint *>;
 
     void review(const GroupView &group);
-    [[nodiscard]] bool isGathering(const GroupView &group, const Model &model) const;
+    [[nodiscard]] bool isAssembling(const GroupView &group, const Model &model) const;
     void reviewWarmUp(const GroupView &group);
     void reviewServing(const GroupView &group, bool isComplete);
     [[nodiscard]] bool hasUnresponsive(const GroupView &group) const;
     void reviewReady(const GroupView &group, bool isComplete);
     void openReady();
-    void leave(const GroupView &group, std::string_view reason);
+    void dissolve(const GroupView &group, std::string_view reason);
     [[nodiscard]] bool isReleased(const Endpoint &engine) const;
-    void offer(const Endpoint &engine);
-    void formIn(Engines &free);
-    bool formOne(Engines &free);
-    void join(const Model &model, const Engines &members);
-    void formFar();
-    void reviewFar();
-    void gatherFar(const Model &model);
-    [[nodiscard]] std::map<FabricDomain, std::size_t> leftOver(const Model &model) const;
+    void addIfFree(const Endpoint &engine);
+    void formInDomain(Engines &free);
+    bool formNextGroup(Engines &free);
+    void formGroup(const Model &model, const Engines &members);
+    void formAcrossDomains();
+    void consolidateGroups();
+    void consolidate(const Model &model);
+    [[nodiscard]] std::map<FabricDomain, std::size_t> leftoverSpares(const Model &model) const;
     [[nodiscard]] static std::vector<const GroupView *>
-    completing(const Model &model, const FabricDomain &domain, std::size_t able,
-               std::vector<const GroupView *> open);
-    [[nodiscard]] Engines spares(const Model &model) const;
-    void notePresent();
-    [[nodiscard]] bool isPreparedFor(const Endpoint &engine, const ModelName &model) const;
-    [[nodiscard]] const Model *reserveOf(const FabricDomain &domain) const;
-    void lend();
-    void lendTo(const Model &model, const FabricDomain &domain);
+    groupsToConsolidate(const Model &model, const FabricDomain &domain, std::size_t able,
+                        std::vector<const GroupView *> open);
+    [[nodiscard]] Engines settledSpares(const Model &model) const;
+    void recordPresentModels();
+    [[nodiscard]] bool isStagedForConversion(const Endpoint &engine, const ModelName &model) const;
+    [[nodiscard]] const Model *reserveModel(const FabricDomain &domain) const;
+    void reclaim();
+    void reclaimFor(const Model &model, const FabricDomain &domain);
     [[nodiscard]] std::vector<const GroupView *>
-    lenders(const Model &model, const FabricDomain &domain, std::size_t missing) const;
-    void stageReserve();
+    groupsToReclaim(const Model &model, const FabricDomain &domain, std::size_t missing) const;
+    void stageReserveModels();
     [[nodiscard]] bool mayLoadReserve() const;
-    [[nodiscard]] const Model *firstModel(const Engines &free) const;
-    [[nodiscard]] bool isMixedBest(std::size_t engines) const;
-    [[nodiscard]] bool leavesALender(const Model &model, std::size_t engines) const;
+    [[nodiscard]] const Model *initialModel(const Engines &free) const;
+    [[nodiscard]] bool shouldMixModels(std::size_t engines) const;
+    [[nodiscard]] bool leavesRoomForSmaller(const Model &model, std::size_t engines) const;
     [[nodiscard]] const Model *modelToLoad(const FabricDomain &domain);
-    [[nodiscard]] bool isNearPossible(const GroupView &group, const Model &model) const;
-    [[nodiscard]] double weightOf(const GroupView &group) const;
+    [[nodiscard]] bool fitsOneDomain(const GroupView &group, const Model &model) const;
+    [[nodiscard]] double capacityOf(const GroupView &group) const;
     void loadAtStart(const Engines &free);
     void loadSpares();
-    void warmUp(const Engines &free);
+    void warmUpSpares(const Engines &free);
     [[nodiscard]] bool needsLoad(const Endpoint &engine) const;
-    [[nodiscard]] std::size_t warm(const FabricDomain &domain, const Model &model) const;
-    [[nodiscard]] double worthOfLoad(const FabricDomain &domain, const Model &model) const;
-    [[nodiscard]] const Model *neededMost(const Engines &free, Readiness worst) const;
+    [[nodiscard]] std::size_t countWithModel(const FabricDomain &domain, const Model &model) const;
+    [[nodiscard]] double loadBenefit(const FabricDomain &domain, const Model &model) const;
+    [[nodiscard]] const Model *worstServedModel(const Engines &free, Readiness worst) const;
     [[nodiscard]] double coverage(const Model &model) const;
     [[nodiscard]] double coverage(const Model &model, double groups) const;
-    [[nodiscard]] double prospect(const Model &model) const;
+    [[nodiscard]] double projectedCoverage(const Model &model) const;
     [[nodiscard]] const Model *modelNamed(const ModelName &name) const;
-    [[nodiscard]] bool isOrdered(const Endpoint &engine) const;
+    [[nodiscard]] bool hasOrder(const Endpoint &engine) const;
     [[nodiscard]] bool mayLoad() const;
     [[nodiscard]] bool isLoading(const Endpoint &engine) const;
     void order(const Endpoint &engine, Order order, std::string reason, bool loads = false);
@@ -94,29 +94,30 @@
     [[nodiscard]] std::vector<ModelLoad> modelLoads() const;
     void convert();
     [[nodiscard]] const GroupView *convertible(const Conversion &conversion) const;
-    [[nodiscard]] bool hasOrLoads(const Endpoint &engine, const Model &model) const;
-    [[nodiscard]] static bool isPrepared(const GroupView &group, const Model &model);
-    void makeWay(const GroupView &group);
-    void prepare(const GroupView &group, const Model &model);
+    [[nodiscard]] bool hasOrLoadsModel(const Endpoint &engine, const Model &model) const;
+    [[nodiscard]] static bool allHaveStaged(const GroupView &group, const Model &model);
+    void closeForConversion(const GroupView &group);
+    void stageForConversion(const GroupView &group, const Model &model);
 
-    [[nodiscard]] double needOfDomains(const Model &model) const;
+    [[nodiscard]] double domainWeight(const Model &model) const;
     [[nodiscard]] std::map<FabricDomain, const Model *> domainModels();
 
     const PlanInput &input_;
     std::vector<const Endpoint *> engines_; ///< Those that answer.
     std::map<FabricDomain, const Model *> domainModels_;
     std::size_t domainSize_ = 1; ///< Engines of the largest fabric domain.
-    std::map<FabricDomain, std::set<const Model *>> present_; ///< Models that its engines have.
+    std::map<FabricDomain, std::set<const Model *>>
+        presentModels_; ///< Models that its engines have.
     std::size_t loads_;
     std::map<ModelName, double> groups_; ///< That serve or will.
     std::map<FabricDomain, Engines> free_;
-    std::set<FabricDomain> hasGroup_;
+    std::set<FabricDomain> domainsWithGroups_;
     std::vector<const GroupView *> serving_; ///< Whole groups.
     std::vector<const GroupView *> ready_;   ///< Whole groups that may be opened.
-    std::set<GroupName> lent_;               ///< Their engines are needed for other groups.
+    std::set<GroupName> dissolving_;         ///< Their engines are needed for other groups.
     std::set<GroupName> converting_;         ///< Counted as groups of another model.
-    std::set<FabricDomain> gathering_;       ///< Their spares wait for engines of far groups.
-    std::set<FabricDomain> borrowing_;       ///< Their spares wait for engines that are lent.
+    std::set<FabricDomain> consolidating_;   ///< Their spares wait for engines of far groups.
+    std::set<FabricDomain> reclaiming_;      ///< Their spares wait for engines that are lent.
     Plan result_;
 };
 
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -16,34 +16,34 @@
 
 /// An engine lists a change at once; the feed brings it within a few hundred milliseconds. After
 /// that the order counts as lost and the planner decides anew.
-constexpr Duration effectTime = std::chrono::milliseconds(800);
+constexpr Duration orderEffectTimeout = std::chrono::milliseconds(800);
 
 /// A view of the engines that is older may miss groups that have formed since; a watch confirms it
 /// every 1.5 s at the latest.
-constexpr Duration longestViewAge = std::chrono::milliseconds(2500);
+constexpr Duration maxViewAge = std::chrono::milliseconds(2500);
 
 /// Pause between two rounds of questions; a question itself waits 150 ms. Grows with the rounds, as
 /// questions are priced: 36 engines of a dark domain left 245 of them unanswered in 7.6 s.
-constexpr Duration askAgain = std::chrono::milliseconds(400);
-constexpr int mostAskedPauses = 4;
+constexpr Duration queryRetryPause = std::chrono::milliseconds(400);
+constexpr int maxRetryPauseFactor = 4;
 
 /// A plan is made at least that often, for what only time changes.
-constexpr Duration longestPlanGap = std::chrono::milliseconds(500);
+constexpr Duration maxPlanInterval = std::chrono::milliseconds(500);
 
 /// Engines that start together are listed within a few hundred milliseconds of each other; the
 /// callers come seconds later.
-constexpr Duration listingTime = std::chrono::milliseconds(500);
+constexpr Duration listingSettleTime = std::chrono::milliseconds(500);
 
 /// Members of one group leave it within a few hundred milliseconds of each other.
-constexpr Duration settleTime = std::chrono::milliseconds(600);
+constexpr Duration freedSettleTime = std::chrono::milliseconds(600);
 
 constexpr Duration capacityLogPeriod = std::chrono::seconds(1);
 
 /// Group epochs of one tenure of the lease; the lease's own epoch stands before them.
-constexpr std::uint64_t epochsOfTenure = 1'000'000;
+constexpr std::uint64_t epochsPerTenure = 1'000'000;
 
 /// The model that an order loads; empty if it loads none.
-ModelName loadedBy(const Order &order)
+ModelName modelLoadedBy(const Order &order)
 {
     if (const auto *join = std::get_if<JoinOrder>(&order))
         return join->model_;
@@ -73,7 +73,7 @@
     if (std::exchange(wasHeld_, isHeld) != isHeld)
         log::info(isHeld ? event::leaseGained : event::leaseLost,
                   {{"epoch", std::to_string(parts_.lease_.epoch().value())}});
-    if (!isHeld || now - listedAsOf > longestViewAge || !isDue(now))
+    if (!isHeld || now - listedAsOf > maxViewAge || !isDue(now))
         return;
     for (const auto &service : routes.configuration().services_) {
         if (service.engine_)
@@ -86,9 +86,9 @@
 bool ReplicaManager::isDue(TimePoint now)
 {
     const bool hasChanged = parts_.book_.revision() != plannedRevision_ || hadOrders_
-                            || !pending_.empty() || !unanswered_.empty()
+                            || !pending_.empty() || !unansweredQueries_.empty()
                             || !parts_.board_.silentEverywhere(now).empty();
-    if (!hasChanged && now - plannedAt_ < longestPlanGap)
+    if (!hasChanged && now - plannedAt_ < maxPlanInterval)
         return false;
     plannedAt_ = now;
     plannedRevision_ = parts_.book_.revision();
@@ -104,23 +104,23 @@
                || *engine != entry.second.before_;
     });
     hadOrders_ = hadOrders_ || ended > 0;
-    const auto isAnotherLife = [this](const VmId &id, std::uint64_t bornAt) {
+    const auto hasRestarted = [this](const VmId &id, std::uint64_t bornAt) {
         const auto *engine = parts_.book_.find(id);
         return engine == nullptr || engine->bornAt_ != bornAt;
     };
-    std::erase_if(unanswered_, [&](const auto &entry) {
-        return isAnotherLife(entry.first, entry.second.bornAt_);
+    std::erase_if(unansweredQueries_, [&](const auto &entry) {
+        return hasRestarted(entry.first, entry.second.bornAt_);
     });
     std::erase_if(loads_, [&](const auto &entry) {
         const auto *engine = parts_.book_.find(entry.first);
-        const bool isDone = isAnotherLife(entry.first, entry.second.bornAt_)
+        const bool isDone = hasRestarted(entry.first, entry.second.bornAt_)
                             || engine->hasStaged(entry.second.model_);
         return isDone || now >= entry.second.until_;
     });
 }
 
-PlanInput ReplicaManager::inputFor(const Service &service, const Memory &memory,
-                                   const std::vector<const Endpoint *> &engines)
+PlanInput ReplicaManager::planInput(const Service &service, const ServiceState &serviceState,
+                                    const std::vector<const Endpoint *> &engines)
 {
     PlanInput input;
     input.engines_ = engines;
@@ -131,17 +131,17 @@
             input.joining_.emplace(engine, order.group_);
     }
     const auto silent = parts_.board_.silentEverywhere(parts_.clock_.now());
-    input.silent_.insert(silent.begin(), silent.end());
-    for (const auto &[engine, silence] : unanswered_)
+    input.stalledHeads_.insert(silent.begin(), silent.end());
+    for (const auto &[engine, unansweredQueries] : unansweredQueries_)
         input.unresponsive_.insert(engine);
     for (const auto &[engine, load] : loads_)
         input.loading_.emplace(engine, load.model_);
     const auto now = parts_.clock_.now();
-    for (const auto &[engine, since] : memory.freeSince_) {
-        if (now - since < settleTime)
-            input.justFreed_.insert(engine);
+    for (const auto &[engine, since] : serviceState.freeSince_) {
+        if (now - since < freedSettleTime)
+            input.recentlyFreed_.insert(engine);
     }
-    input.released_ = memory.heads_.released(engines);
+    input.releasedGroups_ = serviceState.heads_.released(engines);
     input.isFirstLoad_ = isFirstLoad_;
     input.demand_ = demand_;
     input.mix_ = parts_.mix_;
@@ -152,15 +152,15 @@
 void ReplicaManager::planService(const Service &service)
 {
     const auto engines = plannable(parts_.book_.ofService(service.name_));
-    auto &memory = memories_[service.name_];
-    if (isFirstLoad_ && !hasSettled(memory, engines.size()))
+    auto &serviceState = serviceStates_[service.name_];
+    if (isFirstLoad_ && !isListingSettled(serviceState, engines.size()))
         return;
-    inquire(engines);
-    askLeftOut(memory, engines);
-    noteFree(memory, engines);
-    memory.heads_.note(engines);
-    logCapacity(service, memory, engines);
-    const auto plan = planReplicas(inputFor(service, memory, engines));
+    queryStalledGroups(engines);
+    queryUngroupedEngines(serviceState, engines);
+    updateFreeSince(serviceState, engines);
+    serviceState.heads_.update(engines);
+    logCapacity(service, serviceState, engines);
+    const auto plan = planReplicas(planInput(service, serviceState, engines));
     hadOrders_ = hadOrders_ || !plan.empty();
     for (const auto &order : plan)
         send(order, *service.engine_);
@@ -186,37 +186,38 @@
     return result;
 }
 
-void ReplicaManager::noteFree(Memory &memory, const std::vector<const Endpoint *> &engines) const
+void ReplicaManager::updateFreeSince(ServiceState &serviceState,
+                                     const std::vector<const Endpoint *> &engines) const
 {
     const auto now = parts_.clock_.now();
     std::map<VmId, TimePoint> free;
     for (const auto *engine : engines) {
         if (engine->membership_)
             continue;
-        const auto known = memory.freeSince_.find(engine->id_);
-        free.emplace(engine->id_, known == memory.freeSince_.end() ? now : known->second);
+        const auto known = serviceState.freeSince_.find(engine->id_);
+        free.emplace(engine->id_, known == serviceState.freeSince_.end() ? now : known->second);
     }
-    memory.freeSince_ = std::move(free);
+    serviceState.freeSince_ = std::move(free);
 }
 
 /// At the first start the engines are listed one after the other; how many share a fabric domain is
 /// known once no more come.
-bool ReplicaManager::hasSettled(Memory &memory, std::size_t engines) const
+bool ReplicaManager::isListingSettled(ServiceState &serviceState, std::size_t engines) const
 {
     const auto now = parts_.clock_.now();
-    if (std::exchange(memory.engineCount_, engines) != engines)
-        memory.countedAt_ = now;
-    return now - memory.countedAt_ >= listingTime;
+    if (std::exchange(serviceState.engineCount_, engines) != engines)
+        serviceState.countedAt_ = now;
+    return now - serviceState.countedAt_ >= listingSettleTime;
 }
 
 /// One line a model each second: what serves, what is asked for and what could serve.
-void ReplicaManager::logCapacity(const Service &service, Memory &memory,
+void ReplicaManager::logCapacity(const Service &service, ServiceState &serviceState,
                                  const std::vector<const Endpoint *> &engines)
 {
     const auto now = parts_.clock_.now();
-    if (now - memory.loggedAt_ < capacityLogPeriod)
+    if (now - serviceState.loggedAt_ < capacityLogPeriod)
         return;
-    memory.loggedAt_ = now;
+    serviceState.loggedAt_ = now;
     const auto groups = groupsOf(engines);
     for (const auto &model : service.engine_->models_) {
         const auto near = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
@@ -244,7 +245,7 @@
 }
 
 /// A group that stalls has lost a member, or its head: its members are asked which.
-void ReplicaManager::inquire(const std::vector<const Endpoint *> &engines)
+void ReplicaManager::queryStalledGroups(const std::vector<const Endpoint *> &engines)
 {
     const auto now = parts_.clock_.now();
     const auto silent = parts_.board_.silentEverywhere(now);
@@ -252,71 +253,72 @@
         const bool isStalled
             = group.head_ != nullptr
               && std::binary_search(silent.begin(), silent.end(), group.head_->id_);
-        const bool isOpenQuestion
-            = std::any_of(group.members_.begin(), group.members_.end(),
-                          [this](const Endpoint *one) { return unanswered_.contains(one->id_); });
-        auto &inquiry = inquiries_[group.group_];
-        if ((!isStalled && !isOpenQuestion) || inquiry.open_ > 0
-            || now - inquiry.askedAt_ < askAgain * std::min(inquiry.rounds_, mostAskedPauses))
+        const bool hasUnresponsiveMember = std::any_of(
+            group.members_.begin(), group.members_.end(),
+            [this](const Endpoint *one) { return unansweredQueries_.contains(one->id_); });
+        auto &query = stateQueries_[group.group_];
+        if ((!isStalled && !hasUnresponsiveMember) || query.pendingAnswers_ > 0
+            || now - query.sentAt_ < queryRetryPause * std::min(query.rounds_, maxRetryPauseFactor))
             continue;
-        const bool isNew = now - inquiry.askedAt_ > askAgain * (mostAskedPauses + 1);
-        inquiry.rounds_ = isNew ? 1 : inquiry.rounds_ + 1;
-        inquiry.askedAt_ = now;
+        const bool isNew = now - query.sentAt_ > queryRetryPause * (maxRetryPauseFactor + 1);
+        query.rounds_ = isNew ? 1 : query.rounds_ + 1;
+        query.sentAt_ = now;
         for (const auto *member : group.members_) {
             // Once it is known who is silent, only they are asked again.
-            if (!isOpenQuestion || unanswered_.contains(member->id_))
-                ask(group.group_, *member);
+            if (!hasUnresponsiveMember || unansweredQueries_.contains(member->id_))
+                queryMember(group.group_, *member);
         }
     }
 }
 
 /// Engines that were left out and are in no group any more would be left out for good.
-void ReplicaManager::askLeftOut(Memory &memory, const std::vector<const Endpoint *> &engines)
+void ReplicaManager::queryUngroupedEngines(ServiceState &serviceState,
+                                           const std::vector<const Endpoint *> &engines)
 {
     const auto now = parts_.clock_.now();
-    if (now - memory.leftOutAskedAt_ < askAgain * mostAskedPauses)
+    if (now - serviceState.ungroupedQueriedAt_ < queryRetryPause * maxRetryPauseFactor)
         return;
-    memory.leftOutAskedAt_ = now;
+    serviceState.ungroupedQueriedAt_ = now;
     for (const auto *engine : engines) {
-        if (!engine->membership_ && unanswered_.contains(engine->id_))
-            ask({}, *engine);
+        if (!engine->membership_ && unansweredQueries_.contains(engine->id_))
+            queryMember({}, *engine);
     }
 }
 
-void ReplicaManager::ask(const GroupName &group, const Endpoint &member)
+void ReplicaManager::queryMember(const GroupName &group, const Endpoint &member)
 {
-    ++inquiries_[group].open_;
+    ++stateQueries_[group].pendingAnswers_;
     parts_.orders_.state(member, [this, alive = std::weak_ptr(isAlive_), group, id = member.id_,
                                   bornAt = member.bornAt_](const Result<Endpoint> &answer) {
         if (!alive.expired())
-            memberAnswered(group, id, bornAt, answer);
+            onStateAnswer(group, id, bornAt, answer);
     });
 }
 
 /// An engine that has started again since it was listed answers, but it is in no group any more.
-void ReplicaManager::memberAnswered(const GroupName &group, const VmId &member,
-                                    std::uint64_t bornAt, const Result<Endpoint> &answer)
+void ReplicaManager::onStateAnswer(const GroupName &group, const VmId &member, std::uint64_t bornAt,
+                                   const Result<Endpoint> &answer)
 {
-    auto &inquiry = inquiries_[group];
-    inquiry.open_ -= inquiry.open_ > 0 ? 1 : 0;
+    auto &query = stateQueries_[group];
+    query.pendingAnswers_ -= query.pendingAnswers_ > 0 ? 1 : 0;
     // It has answered this entry VM just before.
     if (isError<EndpointCoolingDown>(answer))
         return;
     const bool isRestarted = isOk(answer) && valueOf(answer).bornAt_ > bornAt;
     if (isOk(answer) && !isRestarted) {
-        unanswered_.erase(member);
+        unansweredQueries_.erase(member);
         return;
     }
-    auto &silence = unanswered_[member];
-    silence.bornAt_ = bornAt;
-    ++silence.questions_;
+    auto &unansweredQueries = unansweredQueries_[member];
+    unansweredQueries.bornAt_ = bornAt;
+    ++unansweredQueries.count_;
     const auto problem = isRestarted ? "it has started again" : messageOf(errorOf(answer));
     log::info(event::engineSilent,
               {{"engine", member.text()},
                {"group", group.text()},
                {"error", isRestarted ? "restarted" : std::string(kindOf(errorOf(answer)))},
                {"problem", problem},
-               {"questions", std::to_string(silence.questions_)}});
+               {"questions", std::to_string(unansweredQueries.count_)}});
 }
 
 void ReplicaManager::send(const PlannedOrder &planned, const EngineProfile &profile)
@@ -327,10 +329,10 @@
     const auto now = parts_.clock_.now();
     const auto *join = std::get_if<JoinOrder>(&planned.order_);
     const auto group = join == nullptr ? GroupName() : join->group_;
-    pending_[planned.engine_] = {now + effectTime, *engine, group};
+    pending_[planned.engine_] = {now + orderEffectTimeout, *engine, group};
     if (planned.loads_) {
         // Loads that share the weight store take longer than one alone.
-        const auto model = loadedBy(planned.order_);
+        const auto model = modelLoadedBy(planned.order_);
         const auto alone = loadTimeOf(profile, model);
         loads_[planned.engine_]
             = {now + (isFirstLoad_ ? alone / 5 : alone * 3 / 2), model, engine->bornAt_};
@@ -338,7 +340,7 @@
     log::info(event::orderSent, {{"engine", planned.engine_.text()},
                                  {"order", std::string(nameOf(planned.order_))},
                                  {"group", group.text()},
-                                 {"model", loadedBy(planned.order_).text()},
+                                 {"model", modelLoadedBy(planned.order_).text()},
                                  {"reason", planned.reason_},
                                  {"fence", std::to_string(parts_.lease_.epoch().value())},
                                  {"loads", planned.loads_ ? "yes" : "no"}});
@@ -346,12 +348,12 @@
                         [this, alive = std::weak_ptr(isAlive_), id = planned.engine_,
                          order = planned.order_](const Result<OrderAnswer> &answer) {
                             if (!alive.expired())
-                                answered(id, order, answer);
+                                onOrderAnswer(id, order, answer);
                         });
 }
 
-void ReplicaManager::answered(const VmId &engine, const Order &order,
-                              const Result<OrderAnswer> &answer)
+void ReplicaManager::onOrderAnswer(const VmId &engine, const Order &order,
+                                   const Result<OrderAnswer> &answer)
 {
     const auto text = isOk(answer) ? std::string(nameOf(valueOf(answer)))
                                    : std::string(kindOf(errorOf(answer)));
@@ -362,18 +364,18 @@
     // A head that does not take the order to leave counts as lost, so that its members leave.
     const auto *listed = parts_.book_.find(engine);
     if (!isOk(answer) && std::holds_alternative<LeaveOrder>(order) && listed != nullptr) {
-        auto &silence = unanswered_[engine];
-        silence.bornAt_ = listed->bornAt_;
-        ++silence.questions_;
+        auto &unansweredQueries = unansweredQueries_[engine];
+        unansweredQueries.bornAt_ = listed->bornAt_;
+        ++unansweredQueries.count_;
     }
 }
 
 std::uint64_t ReplicaManager::nextEpoch()
 {
     const auto tenure = parts_.lease_.epoch();
-    if (std::exchange(countedFor_, tenure) != tenure)
-        counter_ = 0;
-    return tenure.value() * epochsOfTenure + ++counter_;
+    if (std::exchange(counterEpoch_, tenure) != tenure)
+        epochCounter_ = 0;
+    return tenure.value() * epochsPerTenure + ++epochCounter_;
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/replica_planner.cpp
+++ b/src/serving/replica_planner.cpp
@@ -6,7 +6,7 @@
 
 Plan planReplicas(const PlanInput &input)
 {
-    return impl::Run(input).plan();
+    return impl::PlannerRun(input).plan();
 }
 
 } // namespace cardamombay::serving
--- a/tests/serving/replica_far.cpp
+++ b/tests/serving/cross_domain_groups.cpp
@@ -1,5 +1,5 @@
 // Groups over several fabric domains, and how their engines come together again.
-#include "support/replica_bench.hpp"
+#include "support/planner_bench.hpp"
 
 #include <criterion/criterion.h>
 
@@ -10,9 +10,9 @@
 namespace {
 
 /// Model "m" with groups of four; no traffic is measured.
-Bench fourMembers()
+PlannerBench fourMembers()
 {
-    Bench bench;
+    PlannerBench bench;
     bench.profile_.models_.resize(1);
     bench.profile_.models_.front().members_ = 4;
     bench.profile_.farFactor_ = 2.5;
@@ -20,7 +20,7 @@
 }
 
 /// An open group of model "m" whose members lie in \p domains, one after the other.
-void addFar(Bench &bench, std::uint64_t epoch, const std::vector<std::string> &domains,
+void addFar(PlannerBench &bench, std::uint64_t epoch, const std::vector<std::string> &domains,
             MemberState state = MemberState::Open)
 {
     const auto group = groupNameOf(ModelName("m"), epoch);
@@ -34,7 +34,7 @@
 
 } // namespace
 
-Test(far_groups, several_that_make_a_group_in_one_domain_make_way_together)
+Test(cross_domain_groups, several_that_make_a_group_in_one_domain_make_way_together)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "b", "c"});
@@ -46,7 +46,7 @@
     cr_assert_eq(targetsOf<CloseOrder>(bench.plan()), (Names{"m.1-0", "m.2-0"}));
 }
 
-Test(far_groups, spares_of_a_domain_that_is_gathered_wait_for_the_rest)
+Test(cross_domain_groups, spares_of_a_domain_that_is_gathered_wait_for_the_rest)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "b", "c"}, MemberState::Closing);
@@ -57,7 +57,7 @@
     cr_assert(targetsOf<JoinOrder>(bench.plan()).empty());
 }
 
-Test(far_groups, few_make_way_at_once_so_that_the_others_serve)
+Test(cross_domain_groups, few_make_way_at_once_so_that_the_others_serve)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "c", "d"});
@@ -69,7 +69,7 @@
     cr_assert_eq(targetsOf<CloseOrder>(bench.plan()).size(), 2);
 }
 
-Test(far_groups, groups_that_make_none_in_a_domain_go_on)
+Test(cross_domain_groups, groups_that_make_none_in_a_domain_go_on)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "b", "c"});
@@ -77,19 +77,19 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(far_groups, engines_that_were_freed_just_now_wait_for_others_of_their_domain)
+Test(cross_domain_groups, engines_that_were_freed_just_now_wait_for_others_of_their_domain)
 {
     auto bench = fourMembers();
     for (const auto *engine : {"a", "b", "c", "d"})
         bench.engines_.push_back(loadedEngine(engine, engine, "m"));
-    bench.input_.justFreed_ = {VmId("c")};
+    bench.input_.recentlyFreed_ = {VmId("c")};
     cr_assert(targetsOf<JoinOrder>(bench.plan()).empty());
     // A whole group in one domain is formed at once.
     for (const auto *engine : {"e", "f", "g"})
         bench.engines_.push_back(loadedEngine(engine, "c", "m"));
     cr_assert_eq(targetsOf<JoinOrder>(bench.plan()), (Names{"c", "e", "f", "g"}));
     bench.engines_.resize(4);
-    bench.input_.justFreed_.clear();
+    bench.input_.recentlyFreed_.clear();
     cr_assert_eq(targetsOf<JoinOrder>(bench.plan()).size(), 4);
 }
 
--- a/tests/serving/model_mix.cpp
+++ b/tests/serving/model_mix.cpp
@@ -121,5 +121,5 @@
 Test(model_mix, kept_mix_changes_nothing)
 {
     const TwoModels models;
-    cr_assert_not(KeptMix().next(models.loads(10, 0.1, 2, 30)).has_value());
+    cr_assert_not(FixedMix().next(models.loads(10, 0.1, 2, 30)).has_value());
 }
--- a/tests/serving/made_up_deployments.cpp
+++ b/tests/serving/planner_invariants.cpp
@@ -1,6 +1,6 @@
 // The planner on deployments that differ in everything: engines are lost, come back empty and are
 // added in random order, and the same promises hold at each step.
-#include "support/replica_bench.hpp"
+#include "support/planner_bench.hpp"
 
 #include <cardamombay/core/random.hpp>
 
@@ -52,9 +52,9 @@
     }
 
     /// Plans and carries out until nothing is due, or for \p most steps.
-    void settle(int most)
+    void settle(int maxSteps)
     {
-        for (int step = 0; step < most; ++step) {
+        for (int step = 0; step < maxSteps; ++step) {
             const auto plan = bench_.plan();
             check(plan);
             if (plan.empty())
@@ -71,7 +71,7 @@
                                  {ModelName("n"), deployment_.smallDemand_}};
     }
 
-    void loseOne()
+    void removeRandomEngine()
     {
         if (bench_.engines_.size() < 2)
             return;
@@ -118,9 +118,10 @@
             cr_assert(ordered.insert(order.engine_).second, "two orders to one engine");
             if (const auto *join = std::get_if<JoinOrder>(&order.order_)) {
                 // It may still list a group that its head has left.
-                cr_assert(!engine->membership_
-                              || bench_.input_.released_.contains(engine->membership_->group_),
-                          "an engine of a group is joined to another");
+                cr_assert(
+                    !engine->membership_
+                        || bench_.input_.releasedGroups_.contains(engine->membership_->group_),
+                    "an engine of a group is joined to another");
                 if (engine->membership_)
                     cr_assert_not(hasHead(engine->membership_->group_));
                 joins[join->group_].insert(order.engine_);
@@ -182,13 +183,13 @@
     Deployment deployment_;
     Random random_;
     DemandMix mix_;
-    Bench bench_;
+    PlannerBench bench_;
     int count_ = 0;
 };
 
 } // namespace
 
-Test(made_up_deployments, orders_keep_their_promises_whatever_is_lost)
+Test(planner_invariants, orders_keep_their_promises_whatever_is_lost)
 {
     constexpr int losses = 40;
     constexpr int steps = 12; ///< Enough for a group that makes way, joins and is opened.
@@ -198,14 +199,14 @@
             fleet.settle(steps);
             fleet.startTraffic();
             for (int loss = 0; loss < losses; ++loss) {
-                fleet.loseOne();
+                fleet.removeRandomEngine();
                 fleet.settle(steps);
             }
         }
     }
 }
 
-Test(made_up_deployments, both_models_serve_after_the_first_start)
+Test(planner_invariants, both_models_serve_after_the_first_start)
 {
     for (const auto &deployment : deployments) {
         Fleet fleet(deployment, 1);
@@ -215,7 +216,7 @@
     }
 }
 
-Test(made_up_deployments, both_models_still_serve_after_a_quarter_of_the_engines_is_replaced)
+Test(planner_invariants, both_models_still_serve_after_a_quarter_of_the_engines_is_replaced)
 {
     for (const auto &deployment : deployments) {
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -223,7 +224,7 @@
             fleet.settle(12);
             fleet.startTraffic();
             for (int loss = 0; loss < deployment.domains_ * deployment.engines_ / 4; ++loss) {
-                fleet.loseOne();
+                fleet.removeRandomEngine();
                 fleet.settle(12);
             }
             cr_assert_gt(fleet.openGroups(ModelName("m")), 0, "seed %d", static_cast<int>(seed));
--- a/tests/serving/replica_converting.cpp
+++ b/tests/serving/replica_converting.cpp
@@ -1,5 +1,5 @@
 // Groups of one model whose engines go on with another one that callers ask more of.
-#include "support/replica_bench.hpp"
+#include "support/planner_bench.hpp"
 
 #include <criterion/criterion.h>
 
@@ -11,7 +11,7 @@
 
 /// Open groups of "m" in groups of four, more than enough, and of "n" in groups of two that have
 /// too much to do.
-struct ShiftedBench : Bench
+struct ShiftedBench : PlannerBench
 {
     ShiftedBench()
     {
--- a/tests/serving/replica_manager.cpp
+++ b/tests/serving/replica_manager.cpp
@@ -27,11 +27,11 @@
     }
     void state(const Endpoint &engine, Callback<Endpoint> done) override
     {
-        questions_.emplace_back(engine, std::move(done));
+        stateQueries_.emplace_back(engine, std::move(done));
     }
 
     std::vector<std::pair<VmId, Order>> sent_;
-    std::vector<std::pair<Endpoint, Callback<Endpoint>>> questions_;
+    std::vector<std::pair<Endpoint, Callback<Endpoint>>> stateQueries_;
 };
 
 /// A spare engine with the weights in its memory.
@@ -175,9 +175,9 @@
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     const auto before = bench.orders_.sent_.size();
     cr_assert_gt(before, 0);
-    auto reborn = spareEngine("a", "d", "m");
-    reborn.bornAt_ = 7;
-    bench.book_.put(reborn);
+    auto restarted = spareEngine("a", "d", "m");
+    restarted.bornAt_ = 7;
+    bench.book_.put(restarted);
     bench.clock_.advance(milliseconds(10));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     const auto &[engine, order] = bench.orders_.sent_.back();
@@ -193,16 +193,16 @@
     bench.board_.started(VmId("a"), 10, bench.clock_.now());
     bench.board_.stalled(VmId("a"), bench.clock_.now());
     bench.manager_.tick(bench.routes_, bench.clock_.now());
-    cr_assert_eq(bench.orders_.questions_.size(), 2);
-    for (const auto &[engine, done] : std::exchange(bench.orders_.questions_, {}))
+    cr_assert_eq(bench.orders_.stateQueries_.size(), 2);
+    for (const auto &[engine, done] : std::exchange(bench.orders_.stateQueries_, {}))
         done(Error(TimedOut{"question", milliseconds(150)}));
     for (const auto *id : {"a", "b"})
         bench.book_.put(spareEngine(id, "d", "m"));
     bench.clock_.advance(seconds(3));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert(bench.orders_.sent_.empty());
-    cr_assert_eq(bench.orders_.questions_.size(), 2);
-    for (const auto &[engine, done] : std::exchange(bench.orders_.questions_, {}))
+    cr_assert_eq(bench.orders_.stateQueries_.size(), 2);
+    for (const auto &[engine, done] : std::exchange(bench.orders_.stateQueries_, {}))
         done(engine);
     bench.clock_.advance(milliseconds(100));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
--- a/tests/serving/replica_planner.cpp
+++ b/tests/serving/replica_planner.cpp
@@ -1,5 +1,5 @@
 // Which orders the planner gives for what the engines list.
-#include "support/replica_bench.hpp"
+#include "support/planner_bench.hpp"
 
 #include <criterion/criterion.h>
 
@@ -9,7 +9,7 @@
 
 Test(replica_planner, whole_ready_group_is_opened_and_an_open_one_left_alone)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Ready);
     bench.addGroup("m.2", "d", MemberState::Open);
     const auto plan = bench.plan();
@@ -19,7 +19,7 @@
 
 Test(replica_planner, group_is_not_opened_before_all_members_are_ready)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Ready);
     bench.engines_[1].membership_->state_ = MemberState::Joining;
     cr_assert(bench.plan().empty());
@@ -27,7 +27,7 @@
 
 Test(replica_planner, group_whose_member_is_no_longer_listed_finishes_its_work)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
     bench.engines_.pop_back();
     const auto plan = bench.plan();
@@ -40,17 +40,17 @@
 Test(replica_planner, all_that_is_left_of_a_group_leaves_when_it_stands_still)
 {
     for (const auto state : {MemberState::Open, MemberState::Closing}) {
-        Bench bench;
+        PlannerBench bench;
         bench.addGroup("m.1", "d", state);
         bench.engines_.pop_back();
-        bench.input_.silent_ = {VmId("m.1-0")};
+        bench.input_.stalledHeads_ = {VmId("m.1-0")};
         cr_assert_eq(targetsOf<LeaveOrder>(bench.plan()), Names{"m.1-0"});
     }
 }
 
 Test(replica_planner, member_that_does_not_answer_counts_as_lost)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
     bench.input_.unresponsive_ = {VmId("m.1-1")};
     cr_assert_eq(targetsOf<LeaveOrder>(bench.plan()), Names{"m.1-0"});
@@ -58,7 +58,7 @@
 
 Test(replica_planner, members_leave_a_lost_head_before_they_join_another_group)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
     bench.engines_.erase(bench.engines_.begin());
     bench.engines_.push_back(loadedEngine("s", "d", "m"));
@@ -71,7 +71,7 @@
 {
     for (const auto state : {MemberState::Joining, MemberState::Ready, MemberState::Open,
                              MemberState::Closing, MemberState::Broken}) {
-        Bench bench;
+        PlannerBench bench;
         bench.addGroup("m.1", "d", state);
         bench.engines_.pop_back();
         bench.engines_.push_back(loadedEngine("s", "d", "m"));
@@ -81,7 +81,7 @@
 
 Test(replica_planner, leaving_member_closes_its_group_without_a_cut)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
     bench.engines_[1].isDraining_ = true;
     const auto plan = bench.plan();
@@ -91,7 +91,7 @@
 
 Test(replica_planner, staged_spares_of_a_domain_form_a_group_with_a_new_epoch)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.engines_ = {spareEngine("a", "d", "m"), spareEngine("b", "d", "m")};
     const auto plan = bench.plan();
     cr_assert_eq(targetsOf<JoinOrder>(plan), (Names{"a", "b"}));
@@ -103,7 +103,7 @@
 
 Test(replica_planner, leaving_and_pending_engines_are_not_chosen)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.engines_
         = {loadedEngine("a", "d", "m"), loadedEngine("b", "d", "m"), loadedEngine("c", "d", "m")};
     bench.engines_[0].isDraining_ = true;
@@ -113,14 +113,14 @@
 
 Test(replica_planner, spares_of_several_domains_serve_together_if_no_domain_has_enough)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.engines_ = {spareEngine("a", "d", "m"), spareEngine("b", "e", "m")};
     cr_assert_eq(targetsOf<JoinOrder>(bench.plan()), (Names{"a", "b"}));
 }
 
 Test(replica_planner, one_group_over_domains_at_a_time_makes_way)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open, "e");
     bench.addGroup("m.2", "d", MemberState::Open, "e");
     bench.engines_.push_back(spareEngine("s", "d", "m"));
@@ -131,7 +131,7 @@
 
 Test(replica_planner, first_start_gives_the_domains_to_the_models_in_turn)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.input_.isFirstLoad_ = true;
     for (const auto *domain : {"d", "e"}) {
         for (int i = 0; i < 2; ++i)
@@ -146,7 +146,7 @@
 
 Test(replica_planner, first_start_gives_more_domains_to_the_model_with_larger_groups)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.input_.isFirstLoad_ = true;
     auto profile = *gatewayConfiguration().services_.front().engine_;
     profile.models_[0].members_ = 4;
@@ -171,7 +171,7 @@
 
 Test(replica_planner, no_more_loads_begin_than_the_weight_store_serves_at_once)
 {
-    Bench bench;
+    PlannerBench bench;
     for (const auto *engine : {"a", "b", "c", "d"})
         bench.input_.loading_.emplace(VmId(engine), ModelName("m"));
     for (int i = 0; i < 9; ++i)
@@ -181,7 +181,7 @@
 
 Test(replica_planner, spare_engine_loads_the_staged_model_alone_and_is_spare_again)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.engines_ = {spareEngine("s", "d", "m")};
     auto plan = bench.plan();
     cr_assert_eq(targetsOf<JoinOrder>(plan), Names{"s"});
@@ -201,7 +201,7 @@
 
 Test(replica_planner, warm_up_is_never_opened_whatever_the_size_of_groups)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.profile_.models_[0].members_ = 1;
     bench.engines_
         = {engineIn("s", "d", warmUpNameOf(ModelName("m"), 7), 7, 0, MemberState::Ready)};
@@ -210,7 +210,7 @@
 
 Test(replica_planner, group_is_formed_before_spares_are_warmed_up)
 {
-    Bench bench;
+    PlannerBench bench;
     bench.engines_
         = {spareEngine("a", "d", "m"), spareEngine("b", "d", "m"), loadedEngine("c", "d", "m")};
     std::map<GroupName, std::size_t> joins;
@@ -225,7 +225,7 @@
 {
     // The first of the two to be listed may be the head or the other one.
     for (const std::uint32_t rank : {0U, 1U}) {
-        Bench bench;
+        PlannerBench bench;
         const GroupName group("m.1");
         bench.engines_ = {engineIn("first", "d", group, 1, rank, MemberState::Joining),
                           spareEngine("second", "d", "m")};
--- a/tests/serving/replica_lending.cpp
+++ b/tests/serving/replica_reclaiming.cpp
@@ -1,6 +1,6 @@
 // Fabric domains that serve models of several sizes: what is formed there, and how the engines of
 // smaller groups repair the larger ones.
-#include "support/replica_bench.hpp"
+#include "support/planner_bench.hpp"
 
 #include <map>
 #include <set>
@@ -14,7 +14,7 @@
 namespace {
 
 /// Model "m" in groups of four and model "n" in groups of two.
-struct MixedBench : Bench
+struct MixedBench : PlannerBench
 {
     MixedBench()
     {
@@ -24,7 +24,7 @@
     }
 
     /// An open group of "n" in domain "d" whose engines have "m" on their hosts.
-    void addLender(const std::string &name, MemberState head = MemberState::Open)
+    void addReclaimableGroup(const std::string &name, MemberState head = MemberState::Open)
     {
         addGroup(name, "d", head);
         for (auto *engine = &engines_.back() - 1; engine <= &engines_.back(); ++engine)
@@ -50,7 +50,7 @@
 
 } // namespace
 
-Test(replica_lending, domains_that_groups_of_both_sizes_fill_serve_both_models)
+Test(replica_reclaiming, domains_that_groups_of_both_sizes_fill_serve_both_models)
 {
     MixedBench bench;
     bench.input_.isFirstLoad_ = true;
@@ -67,7 +67,7 @@
         cr_assert_eq(members, 4);
 }
 
-Test(replica_lending, small_groups_wait_until_a_domain_has_its_large_one)
+Test(replica_reclaiming, small_groups_wait_until_a_domain_has_its_large_one)
 {
     MixedBench bench;
     bench.input_.isFirstLoad_ = true;
@@ -79,7 +79,7 @@
         cr_assert_eq(engine.front(), 'd');
 }
 
-Test(replica_lending, engines_of_small_groups_keep_the_large_model_on_their_hosts)
+Test(replica_reclaiming, engines_of_small_groups_keep_the_large_model_on_their_hosts)
 {
     MixedBench bench;
     bench.addSurvivors(4);
@@ -92,19 +92,19 @@
     }
 }
 
-Test(replica_lending, domain_of_one_model_keeps_no_other_on_its_hosts)
+Test(replica_reclaiming, domain_of_one_model_keeps_no_other_on_its_hosts)
 {
     MixedBench bench;
     bench.addGroup("n.1", "d", MemberState::Open);
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_lending, small_group_makes_way_for_the_engine_that_a_large_one_lacks)
+Test(replica_reclaiming, small_group_makes_way_for_the_engine_that_a_large_one_lacks)
 {
     MixedBench bench;
     bench.addSurvivors(3);
-    bench.addLender("n.1");
-    bench.addLender("n.2");
+    bench.addReclaimableGroup("n.1");
+    bench.addReclaimableGroup("n.2");
     auto plan = bench.plan();
     cr_assert_eq(targetsOf<CloseOrder>(plan), Names{"n.1-0"});
     cr_assert_not(std::get<CloseOrder>(plan.front().order_).abortsRequests_);
@@ -130,12 +130,12 @@
     cr_assert_not(joins.contains(ModelName("n")));
 }
 
-Test(replica_lending, nothing_is_lent_by_a_model_that_would_then_be_served_worse)
+Test(replica_reclaiming, nothing_is_lent_by_a_model_that_would_then_be_served_worse)
 {
     MixedBench bench;
     bench.addSurvivors(3);
-    bench.addLender("n.1");
-    bench.addLender("n.2");
+    bench.addReclaimableGroup("n.1");
+    bench.addReclaimableGroup("n.2");
     bench.input_.demand_ = {{ModelName("m"), 0.1}, {ModelName("n"), 4}};
     bench.addGroup("m.3", "e", MemberState::Open);
     bench.addGroup("m.3", "e", MemberState::Open);
@@ -146,17 +146,17 @@
     cr_assert(targetsOf<CloseOrder>(bench.plan()).empty());
 }
 
-Test(replica_lending, survivors_that_wait_for_lent_engines_form_no_group_over_domains)
+Test(replica_reclaiming, survivors_that_wait_for_lent_engines_form_no_group_over_domains)
 {
     MixedBench bench;
     bench.addSurvivors(3);
-    bench.addLender("n.1");
-    bench.addLender("n.2");
+    bench.addReclaimableGroup("n.1");
+    bench.addReclaimableGroup("n.2");
     bench.engines_.push_back(loadedEngine("far", "e", "m"));
     cr_assert(targetsOf<JoinOrder>(bench.plan()).empty());
 }
 
-Test(replica_lending, empty_engine_loads_the_model_whose_group_it_completes)
+Test(replica_reclaiming, empty_engine_loads_the_model_whose_group_it_completes)
 {
     MixedBench bench;
     bench.addSurvivors(1);
@@ -169,7 +169,7 @@
     }
 }
 
-Test(replica_lending, engine_that_has_a_model_in_its_memory_is_not_warmed_up_for_another)
+Test(replica_reclaiming, engine_that_has_a_model_in_its_memory_is_not_warmed_up_for_another)
 {
     MixedBench bench;
     auto engine = loadedEngine("n-left", "d", "n");
--- a/tests/serving/shifted_demand.cpp
+++ b/tests/serving/shifted_demand.cpp
@@ -1,6 +1,6 @@
 // What the mix of models by demand costs the work that operators' shares fit, and gains for shifted
 // work.
-#include "support/shifting_fleet.hpp"
+#include "support/shifted_demand_simulation.hpp"
 
 #include <criterion/criterion.h>
 
@@ -9,19 +9,19 @@
 
 Test(shifted_demand, work_that_the_shares_fit_is_served_no_worse)
 {
-    for (const auto &sheet : {oldSheet, halfWay}) {
-        const auto kept = meanOf(KeptMix(), sheet);
-        const auto mixed = meanOf(DemandMix(), sheet);
+    for (const auto &requestMix : {originalMix, intermediateMix}) {
+        const auto kept = meanWaitingShares(FixedMix(), requestMix);
+        const auto mixed = meanWaitingShares(DemandMix(), requestMix);
         print("old sheet or half of the way", kept, mixed);
-        cr_expect_leq(mixed.small_ + mixed.large_, kept.small_ + kept.large_ + mostWaiting);
+        cr_expect_leq(mixed.small_ + mixed.large_, kept.small_ + kept.large_ + maxWaitingShare);
     }
 }
 
 Test(shifted_demand, fewer_callers_wait_after_the_mix_has_shifted_than_with_kept_domains)
 {
-    const auto kept = meanOf(KeptMix(), shiftedSheet);
-    const auto mixed = meanOf(DemandMix(), shiftedSheet);
+    const auto kept = meanWaitingShares(FixedMix(), shiftedMix);
+    const auto mixed = meanWaitingShares(DemandMix(), shiftedMix);
     print("shifted sheet", kept, mixed);
     cr_expect_lt(mixed.small_, kept.small_);
-    cr_expect_lt(mixed.large_, kept.large_ + mostWaiting);
+    cr_expect_lt(mixed.large_, kept.large_ + maxWaitingShare);
 }
--- a/tests/support/replica_bench.hpp
+++ b/tests/support/planner_bench.hpp
@@ -23,15 +23,15 @@
 }
 
 /// \brief Engines and what the planner knows of them.
-struct Bench
+struct PlannerBench
 {
     serving::Plan plan()
     {
         std::vector<const serving::Endpoint *> engines;
         for (const auto &engine : engines_)
             engines.push_back(&engine);
-        heads_.note(engines);
-        input_.released_ = heads_.released(engines);
+        heads_.update(engines);
+        input_.releasedGroups_ = heads_.released(engines);
         input_.engines_ = engines;
         input_.profile_ = &profile_;
         input_.nextEpoch_ = [this] { return ++epoch_; };
--- a/tests/support/shifting_fleet.hpp
+++ b/tests/support/shifted_demand_simulation.hpp
@@ -3,7 +3,7 @@
 /// while the mix of their requests moves away from operators' shares.
 #pragma once
 
-#include "support/replica_bench.hpp"
+#include "support/planner_bench.hpp"
 
 #include <cardamombay/core/random.hpp>
 
@@ -20,20 +20,20 @@
 inline constexpr int enginesPerDomain = 18;
 inline constexpr std::uint32_t largeGroup = 8;
 inline constexpr std::uint32_t smallGroup = 2;
-inline constexpr std::size_t places = 20;
+inline constexpr std::size_t slotsPerGroup = 20;
 
 /// Seconds that the steps of engines take.
 inline constexpr double loadSeconds = 12;
-inline constexpr double stagedSeconds = 1.1; ///< To join with weights from the host.
-inline constexpr double loadedSeconds = 0.2; ///< To join with weights in memory.
+inline constexpr double stagedJoinSeconds = 1.1; ///< To join with weights from the host.
+inline constexpr double loadedJoinSeconds = 0.2; ///< To join with weights in memory.
 inline constexpr double openSeconds = 0.3;
-inline constexpr double finishSeconds = 2; ///< The rest of the answers of a group that makes way.
+inline constexpr double drainSeconds = 2; ///< The rest of the answers of a group that makes way.
 inline constexpr double answerSeconds = 1.8;
-inline constexpr double lossGapSeconds = 1.5;
-inline constexpr double replacedAfterSeconds = 5;
+inline constexpr double lossIntervalSeconds = 1.5;
+inline constexpr double replacementDelaySeconds = 5;
 
 /// Requests a second for the small and the large model.
-struct Sheet
+struct RequestMix
 {
     double small_;
     double large_;
@@ -41,12 +41,12 @@
 
 /// The mix that the shares were made for, half of the way, and the mix that callers ask for now, at
 /// the crest of its hours, which are a fifth above the mean.
-inline constexpr Sheet oldSheet{200, 90};
-inline constexpr Sheet halfWay{286, 65};
-inline constexpr Sheet shiftedSheet{373, 43};
+inline constexpr RequestMix originalMix{200, 90};
+inline constexpr RequestMix intermediateMix{286, 65};
+inline constexpr RequestMix shiftedMix{373, 43};
 
 /// Shares of the callers who found no free place at once.
-struct Waits
+struct WaitingShares
 {
     double small_ = 0;
     double large_ = 0;
@@ -54,10 +54,10 @@
 };
 
 /// 162 engines that carry out the planner's orders in their own time, and lose one every 1.5 s.
-class ShiftingFleet
+class ShiftedDemandSimulation
 {
 public:
-    ShiftingFleet(const ModelMix &mix, std::uint64_t seed)
+    ShiftedDemandSimulation(const ModelMix &mix, std::uint64_t seed)
         : random_(seed)
     {
         bench_.profile_.models_[0].members_ = largeGroup;
@@ -77,20 +77,20 @@
     }
 
     /// Callers come by \p sheet for that long; who finds no place is counted.
-    Waits serve(double seconds, Sheet sheet)
+    WaitingShares serve(double seconds, RequestMix requestMix)
     {
         std::map<ModelName, Count> counts;
         for (const double end = now_ + seconds; now_ < end; now_ += step) {
-            measure(sheet);
+            measure(requestMix);
             advance();
-            ask(ModelName("m"), sheet.large_, counts[ModelName("m")]);
-            ask(ModelName("n"), sheet.small_, counts[ModelName("n")]);
+            sendRequests(ModelName("m"), requestMix.large_, counts[ModelName("m")]);
+            sendRequests(ModelName("n"), requestMix.small_, counts[ModelName("n")]);
         }
         const auto share = [&](const char *name) {
             const auto &count = counts[ModelName(name)];
-            return count.asked_ == 0
+            return count.requests_ == 0
                        ? 0
-                       : static_cast<double>(count.waited_) / static_cast<double>(count.asked_);
+                       : static_cast<double>(count.waiting_) / static_cast<double>(count.requests_);
         };
         return {share("n"), share("m"), conversions_};
     }
@@ -100,8 +100,8 @@
 
     struct Count
     {
-        std::size_t asked_ = 0;
-        std::size_t waited_ = 0;
+        std::size_t requests_ = 0;
+        std::size_t waiting_ = 0;
     };
 
     void add(const std::string &domain)
@@ -117,22 +117,22 @@
     }
 
     /// As entry VMs do: smoothed over four seconds, in groups' worth.
-    void measure(const Sheet &sheet)
+    void measure(const RequestMix &requestMix)
     {
-        const auto smooth = [&](const char *model, double perSecond) {
-            const double groups = perSecond * answerSeconds / static_cast<double>(places);
+        const auto addSample = [&](const char *model, double perSecond) {
+            const double groups = perSecond * answerSeconds / static_cast<double>(slotsPerGroup);
             auto &known = bench_.input_.demand_[ModelName(model)];
             known += (groups - known) * step / 4;
         };
-        smooth("m", sheet.large_);
-        smooth("n", sheet.small_);
+        addSample("m", requestMix.large_);
+        addSample("n", requestMix.small_);
     }
 
     void advance()
     {
         if (started_ && now_ >= nextLoss_) {
-            nextLoss_ = now_ + lossGapSeconds;
-            loseOne();
+            nextLoss_ = now_ + lossIntervalSeconds;
+            removeRandomEngine();
         }
         while (!arrivals_.empty() && arrivals_.front().first <= now_) {
             add(arrivals_.front().second);
@@ -140,18 +140,18 @@
         }
         carryOutDue();
         for (const auto &order : bench_.plan())
-            take(order);
+            accept(order);
     }
 
     /// A group that has lost an engine ends, and its survivors are free.
-    void loseOne()
+    void removeRandomEngine()
     {
         const auto index = random_.below(bench_.engines_.size());
         const auto lost = bench_.engines_[index];
         bench_.engines_.erase(bench_.engines_.begin() + static_cast<std::ptrdiff_t>(index));
         due_.erase(lost.id_);
         forgetOrder(lost.id_);
-        arrivals_.push({now_ + replacedAfterSeconds, lost.domain_.text()});
+        arrivals_.push({now_ + replacementDelaySeconds, lost.domain_.text()});
         if (!lost.membership_)
             return;
         for (auto &engine : bench_.engines_) {
@@ -176,17 +176,17 @@
         const double slow = bench_.input_.isFirstLoad_ ? 0.1 : 1;
         if (const auto *join = std::get_if<JoinOrder>(&order)) {
             if (engine.model_ == join->model_)
-                return loadedSeconds;
-            return engine.hasStaged(join->model_) ? stagedSeconds : loadSeconds * slow;
+                return loadedJoinSeconds;
+            return engine.hasStaged(join->model_) ? stagedJoinSeconds : loadSeconds * slow;
         }
         if (std::holds_alternative<StageOrder>(order))
             return loadSeconds * slow;
         if (std::holds_alternative<OpenOrder>(order))
             return openSeconds;
-        return std::holds_alternative<CloseOrder>(order) ? finishSeconds : 0;
+        return std::holds_alternative<CloseOrder>(order) ? drainSeconds : 0;
     }
 
-    void take(const PlannedOrder &planned)
+    void accept(const PlannedOrder &planned)
     {
         auto &engine = *find(planned.engine_);
         // Weights come onto the host beside all that the engine does.
@@ -248,11 +248,12 @@
 
     /// Entry VMs choose by news that are a digest old, which leaves the better of two groups drawn
     /// at random; callers who find it full wait.
-    void ask(const ModelName &model, double perSecond, Count &count)
+    void sendRequests(const ModelName &model, double perSecond, Count &count)
     {
         const auto groups = openGroups(model);
-        for (owed_[model] += perSecond * step; owed_[model] >= 1; owed_[model] -= 1) {
-            ++count.asked_;
+        for (dueRequests_[model] += perSecond * step; dueRequests_[model] >= 1;
+             dueRequests_[model] -= 1) {
+            ++count.requests_;
             std::vector<double> *best = nullptr;
             for (int draw = 0; draw < 2 && !groups.empty(); ++draw) {
                 auto &busy = busyUntil_[groups[random_.below(groups.size())]];
@@ -260,8 +261,8 @@
                 if (best == nullptr || busy.size() < best->size())
                     best = &busy;
             }
-            if (best == nullptr || best->size() >= places)
-                ++count.waited_;
+            if (best == nullptr || best->size() >= slotsPerGroup)
+                ++count.waiting_;
             else
                 best->push_back(now_ + answerSeconds * (0.5 + random_.unit()));
         }
@@ -281,32 +282,33 @@
     }
 
     Random random_;
-    Bench bench_;
+    PlannerBench bench_;
     double now_ = 0;
     bool started_ = false;
-    double nextLoss_ = lossGapSeconds;
+    double nextLoss_ = lossIntervalSeconds;
     int count_ = 0;
     int conversions_ = 0;
     std::queue<std::pair<double, std::string>> arrivals_;
     std::map<VmId, std::pair<double, PlannedOrder>> due_;
     std::map<VmId, std::pair<double, PlannedOrder>> loads_;
-    std::map<ModelName, double> owed_;
+    std::map<ModelName, double> dueRequests_;
     std::map<GroupName, std::vector<double>> busyUntil_;
 };
 
 /// Callers come by \p before for \p settling seconds, and are counted while they come by \p sheet.
-inline Waits meanOf(const ModelMix &mix, Sheet sheet, Sheet before = {}, double settling = 0)
+inline WaitingShares meanWaitingShares(const ModelMix &mix, RequestMix requestMix,
+                                       RequestMix before = {}, double settling = 0)
 {
     constexpr std::uint64_t seeds = 5;
     constexpr double seconds = 40;
-    Waits sum;
+    WaitingShares sum;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        ShiftingFleet fleet(mix, seed);
+        ShiftedDemandSimulation fleet(mix, seed);
         if (settling > 0) {
             (void)fleet.serve(seconds / 2, before);
-            (void)fleet.serve(settling, sheet);
+            (void)fleet.serve(settling, requestMix);
         }
-        const auto one = fleet.serve(seconds, sheet);
+        const auto one = fleet.serve(seconds, requestMix);
         sum.small_ += one.small_ / seeds;
         sum.large_ += one.large_ / seeds;
         sum.conversions_ += one.conversions_;
@@ -314,15 +316,15 @@
     return sum;
 }
 
-inline void print(const char *sheet, const Waits &kept, const Waits &mixed)
+inline void print(const char *requestMix, const WaitingShares &kept, const WaitingShares &mixed)
 {
     std::printf("%s: callers without a place, small model %.4f and %.4f, large model %.4f and "
                 "%.4f; groups that made way %d and %d (kept and by demand)\n",
-                sheet, kept.small_, mixed.small_, kept.large_, mixed.large_, kept.conversions_,
+                requestMix, kept.small_, mixed.small_, kept.large_, mixed.large_, kept.conversions_,
                 mixed.conversions_);
 }
 
 /// Share of the callers that may find no place at once: those that wait are late.
-inline constexpr double mostWaiting = 0.01;
+inline constexpr double maxWaitingShare = 0.01;
 
 } // namespace cardamombay::support
