--- a/include/cardamombay/serving/engine_model.hpp
+++ b/include/cardamombay/serving/engine_model.hpp
@@ -1,41 +1,41 @@
 /// \file
-/// \brief Predicts how fast a group of engines works.
-/// \details Pure arithmetic on an engine's profile. Routing, admission and the detection of stalled
-/// groups use the same predictions.
+/// \brief Latency and throughput model of a group of engines.
+/// \details Pure arithmetic on an engine profile. Routing, admission and stall detection use the
+/// same predictions.
 #pragma once
 
 #include <cardamombay/serving/configuration.hpp>
 
 namespace cardamombay::serving {
 
-/// \brief Times of a group that serves one model.
+/// \brief Predicts the processing times of a group that serves one model.
 class EngineModel
 {
 public:
-    /// \param profile of the service's engines; outlives the model.
-    /// \param model what the group serves; outlives the model.
+    /// \param profile profile of the service's engines; must outlive this object.
+    /// \param model model that the group serves; must outlive this object.
     EngineModel(const EngineProfile &profile, const Model &model)
         : profile_(profile)
         , model_(model)
     {
     }
 
-    /// \brief Between two events of a stream while \p writers requests are in the batch.
-    /// \param context mean tokens of prompt and answer that a request has.
+    /// \brief Time between two events of a stream while \p batchSize requests are being decoded.
+    /// \param context mean context length of a request in tokens, prompt and answer together.
     [[nodiscard]] Duration eventInterval(std::size_t batchSize, std::size_t context) const;
 
-    /// \brief Mean context of a request in the batch, tokens, by the operators' declaration: the
-    /// prompt and half of the answer.
+    /// \brief Expected mean context length of a request in the batch, in tokens: the configured
+    /// mean prompt and half of the configured mean answer.
     [[nodiscard]] std::size_t meanContext() const;
 
-    /// \brief Reading a prompt alone.
+    /// \brief Time to process a prompt that does not share the engine with other requests.
     [[nodiscard]] Duration prefillTime(std::size_t promptTokens) const;
 
-    /// \brief Share of a whole group's time that a request takes when the batch is full.
+    /// \brief Group time that is attributable to one request when the batch is full.
     [[nodiscard]] Duration amortizedGroupTime(std::size_t promptTokens,
                                               std::size_t answerTokens) const;
 
-    /// \brief The longest pause that a healthy group with a full batch makes between two events.
+    /// \brief Upper bound of the time between two events of a healthy group with a full batch.
     [[nodiscard]] Duration maxEventInterval() const;
 
 private:
--- a/include/cardamombay/serving/gated_orders.hpp
+++ b/include/cardamombay/serving/gated_orders.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Orders and questions that leave an engine alone while it wants nothing.
-/// \details The gate of what is not a caller's request. An engine that leaves still takes orders:
-/// to close its group is one of them.
+/// \brief Withholds orders and state queries from engines in a cooldown.
+/// \details Applies endpoint cooldowns to control traffic, that is, to everything except callers'
+/// requests. A draining engine still receives orders, for example to close its group.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -10,25 +10,26 @@
 
 namespace cardamombay::serving {
 
-/// \brief Passes on what may be sent, and answers for the rest.
+/// \brief Forwards orders and queries unless the engine is in a cooldown.
 /// \code
 /// GatedOrders gated(clock, orders, gateway.notices());
-/// gated.send(engine, order, fence, done); // OrderAnswer::Withheld in a cooldown
+/// gated.send(engine, order, fence, done); // OrderAnswer::Withheld during a cooldown
 /// \endcode
 class GatedOrders final : public ReplicaOrders
 {
 public:
-    /// \param orders its notices are taken here; outlives this, as \p clock and \p notices do.
+    /// \param orders receives the forwarded calls; its notice handler is replaced by one that feeds
+    /// \p notices. All arguments must outlive this object.
     GatedOrders(Clock &clock, ReplicaOrders &orders, EndpointNotices &notices);
 
-    /// \param done gets OrderAnswer::Withheld if nothing was sent.
+    /// \param done receives OrderAnswer::Withheld if nothing was sent.
     void send(const Endpoint &engine, const Order &order, std::uint64_t fence,
               Callback<OrderAnswer> done) override;
-    /// \param done gets EndpointCoolingDown if nothing was sent.
+    /// \param done receives EndpointCoolingDown if nothing was sent.
     void state(const Endpoint &engine, Callback<Endpoint> done) override;
 
 private:
-    /// \brief The rest of the engine's cooldown; a send that it forbids is counted.
+    /// \brief Remaining cooldown of the engine, if any; counts the send as withheld.
     [[nodiscard]] std::optional<Duration> withheldFor(const Endpoint &engine);
 
     Clock &clock_;
--- a/include/cardamombay/serving/group_heads.hpp
+++ b/include/cardamombay/serving/group_heads.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// \brief Remembers which engine is the head of each group, and tells when it has left.
-/// \details A group serves through its head only. Once the head is listed without the group nothing
-/// can begin there, and its members may join another group in one step, without leaving first.
-/// Guards that no engine is taken from a group that may still serve: a head that is not listed may
-/// be cut off and serve on.
+/// \brief Tracks the head of each group and detects when it has left the group.
+/// \details Requests reach a group only through its head. Once the head is listed outside the
+/// group, no new request can start there, and the other members can join another group directly,
+/// without a separate leave order. A head that is not listed at all does not count as having left:
+/// it may be partitioned and still be serving, so its members must not be reassigned.
 #pragma once
 
 #include <cardamombay/serving/endpoint.hpp>
@@ -14,18 +14,18 @@
 
 namespace cardamombay::serving {
 
-/// \brief Heads as last listed; on the control thread.
+/// \brief Last listed heads of the groups. Used on the control thread only.
 class GroupHeads
 {
 public:
-    /// \brief Takes what the engines list now.
+    /// \brief Records the heads from the current list of \p engines.
     void update(std::span<const Endpoint *const> engines);
 
-    /// \brief Groups whose heads are listed, and in no such group any more.
+    /// \brief Groups whose last known head is listed, but no longer as a member of the group.
     [[nodiscard]] std::set<GroupName> released(std::span<const Endpoint *const> engines) const;
 
 private:
-    std::map<GroupName, VmId> heads_; ///< Of the groups that have members.
+    std::map<GroupName, VmId> heads_; ///< Only groups with at least one listed member.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/group_view.hpp
+++ b/include/cardamombay/serving/group_view.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Groups of engines as their members report them.
+/// \brief Groups of engines, assembled from what their members report.
 #pragma once
 
 #include <cardamombay/serving/endpoint.hpp>
@@ -8,40 +8,39 @@
 
 namespace cardamombay::serving {
 
-/// \brief Name of a group: the model, a dot and the epoch, so that every entry VM can tell the
-/// model.
+/// \brief Group name `<model>.<epoch>`, from which any entry VM can derive the model.
 [[nodiscard]] GroupName groupNameOf(const ModelName &model, std::uint64_t epoch);
 
-/// \brief The model that a group's name tells.
+/// \brief Extracts the model from a group name.
 [[nodiscard]] ModelName modelOf(const GroupName &group);
 
-/// \brief Name of a group of one engine that only loads the model into the engine's memory, so that
-/// it can join a serving group at once.
+/// \brief Name of a warm-up group: a single engine that loads the model into memory so that it can
+/// join a serving group without delay.
 [[nodiscard]] GroupName warmUpNameOf(const ModelName &model, std::uint64_t epoch);
 
-/// \brief True if \p group has a name of warmUpNameOf().
+/// \brief True if \p group was named by warmUpNameOf().
 [[nodiscard]] bool isWarmUp(const GroupName &group);
 
-/// \brief Members that report the same group and epoch.
+/// \brief The listed members that report the same group and epoch.
 struct GroupView
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
     ModelName model_;
-    const Endpoint *head_ = nullptr;        ///< Null if it is not listed.
-    std::vector<const Endpoint *> members_; ///< By rank, the head included if it is listed.
+    const Endpoint *head_ = nullptr;        ///< Null if the head is not listed.
+    std::vector<const Endpoint *> members_; ///< Listed members by rank, including the head.
 
     /// \brief True if all \p size members are listed.
     [[nodiscard]] bool isComplete(std::size_t size) const { return members_.size() == size; }
-    /// \brief True if a listed member is leaving.
+    /// \brief True if a listed member is draining.
     [[nodiscard]] bool hasDrainingMember() const;
-    /// \brief True if its members are in several fabric domains, which makes it slower.
+    /// \brief True if the members are in more than one fabric domain, which makes the group slower.
     [[nodiscard]] bool spansDomains() const;
-    /// \brief State of the head; Broken if it is not listed.
+    /// \brief State of the head; Broken if the head is not listed.
     [[nodiscard]] MemberState state() const;
 };
 
-/// \brief Groups of \p endpoints, by name. The views point into \p endpoints.
+/// \brief Assembles the groups of \p endpoints, sorted by name. The views point into \p endpoints.
 [[nodiscard]] std::vector<GroupView> groupsOf(std::span<const Endpoint *const> endpoints);
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/model_mix.hpp
+++ b/include/cardamombay/serving/model_mix.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// \brief Decides whether engines of one model should serve another one.
-/// \details Operators' shares hold for the work at the first start; callers ask for another mix
-/// later. Pure: takes what serves and what is asked for. Which engines change is the planner's.
+/// \brief Decides whether engines should switch from one model to another.
+/// \details The configured shares describe the demand at the first start; the actual demand may
+/// shift later. The decision is a pure function of capacity and demand. The planner selects the
+/// engines.
 #pragma once
 
 #include <cardamombay/serving/configuration.hpp>
@@ -11,31 +12,31 @@
 
 namespace cardamombay::serving {
 
-/// \brief What serves a model, and what callers ask of it.
+/// \brief Capacity and demand of one model.
 struct ModelLoad
 {
     const Model *model_ = nullptr;
-    double groups_ = 0; ///< That serve or will; one over fabric domains counts less.
-    double demand_ = 0; ///< Groups' worth of work.
+    double groups_ = 0; ///< Serving or being formed; a group across fabric domains counts less.
+    double demand_ = 0; ///< Demand, in groups.
 
-    /// \returns groups per group's worth of work once one of them is lost; below 1 callers wait for
-    /// each other.
-    /// \param more groups that are added, or taken away if it is negative.
+    /// \returns the ratio of capacity to demand after the loss of one group; below 1 requests
+    /// queue.
+    /// \param more number of groups to add, or to remove if negative.
     [[nodiscard]] double coverageAfterLoss(double more = 0) const;
 };
 
-/// \brief A group of one model becomes groups of another.
+/// \brief Conversion of one group of a model into groups of another.
 struct Conversion
 {
     const Model *from_ = nullptr;
     const Model *to_ = nullptr;
 
-    /// \returns groups of \p to_ that the engines of a group of \p from_ make; none if engines
-    /// would be left over.
+    /// \returns the number of groups of \p to_ that the engines of one group of \p from_ form; 0 if
+    /// engines would be left over.
     [[nodiscard]] std::size_t groupsMade() const;
 };
 
-/// \brief Chooses the conversion that is due.
+/// \brief Policy that selects the next conversion.
 class ModelMix
 {
 public:
@@ -44,19 +45,20 @@
     ModelMix &operator=(const ModelMix &) = delete;
     virtual ~ModelMix() = default;
 
-    /// \returns the conversion that helps callers most; nothing if none does.
+    /// \returns the most beneficial conversion; nothing if none is beneficial.
     [[nodiscard]] virtual std::optional<Conversion>
     next(std::span<const ModelLoad> models) const = 0;
 };
 
-/// \brief Engines keep the models that they began with.
+/// \brief Never converts: engines keep their initial models.
 class FixedMix final : public ModelMix
 {
 public:
     [[nodiscard]] std::optional<Conversion> next(std::span<const ModelLoad> models) const override;
 };
 
-/// \brief Groups of a model that is served better become groups of one that is served worse.
+/// \brief Converts groups of a model with spare capacity into groups of a model that lacks
+/// capacity.
 class DemandMix final : public ModelMix
 {
 public:
--- a/include/cardamombay/serving/planner_lease.hpp
+++ b/include/cardamombay/serving/planner_lease.hpp
@@ -1,14 +1,14 @@
 /// \file
-/// \brief Times of the planner's lease.
+/// \brief Timing of the planner lease.
 #pragma once
 
 #include <cardamombay/leases/lease_settings.hpp>
 
 namespace cardamombay::serving {
 
-/// \brief Times with which a planner that died is replaced within about two and a half seconds:
-/// what a renewal buys, and the looks of the next candidate. Each renewal and look is a call to the
-/// store, three a second for a fleet.
+/// \brief Lease settings with which a failed planner is replaced within about 2.5 s: the lease
+/// duration plus the polling delay of the next candidate. Each renewal and each poll is a call to
+/// the store, three per second for a whole fleet.
 [[nodiscard]] inline leases::LeaseSettings plannerLeaseTimes()
 {
     leases::LeaseSettings times;
@@ -16,7 +16,7 @@
     times.margin_ = std::chrono::milliseconds(150);
     times.renewEvery_ = std::chrono::milliseconds(600);
     times.rankDelay_ = std::chrono::milliseconds(150);
-    times.orderFlight_ = Duration::zero(); // Fencing numbers stop late orders.
+    times.orderFlight_ = Duration::zero(); // Late orders are rejected by their fencing number.
     times.writeDeadline_ = std::chrono::milliseconds(1000);
     times.retryDelay_ = std::chrono::milliseconds(150);
     times.longestRetryDelay_ = std::chrono::milliseconds(800);
--- a/include/cardamombay/serving/replica_manager.hpp
+++ b/include/cardamombay/serving/replica_manager.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Forms and ends groups of engines while this entry VM holds the planner lease.
-/// \details Carries out what the planner decides: sends orders under the lease's fencing number,
-/// and asks the members of a stalled group which of them is lost. Guards that only one entry VM
-/// gives orders.
+/// \brief Forms and dissolves groups of engines while this entry VM holds the planner lease.
+/// \details Executes the planner's decisions: sends orders with the lease's fencing number, and
+/// queries the members of a stalled group to find the one that failed. The lease ensures that only
+/// one entry VM gives orders.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -17,7 +17,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief What the manager uses; all outlive it.
+/// \brief Dependencies of the manager; all must outlive it.
 struct ManagerParts
 {
     Clock &clock_;
@@ -25,10 +25,10 @@
     ReplicaOrders &orders_;
     const EndpointBook &book_;
     const LoadBoard &board_;
-    const ModelMix *mix_ = nullptr; ///< None: engines keep their models.
+    const ModelMix *mix_ = nullptr; ///< Null: engines keep their models.
 };
 
-/// \brief The planning side of one entry VM.
+/// \brief Runs the planner on one entry VM.
 class ReplicaManager
 {
 public:
@@ -36,41 +36,42 @@
     ReplicaManager(const ReplicaManager &) = delete;
     ReplicaManager &operator=(const ReplicaManager &) = delete;
 
-    /// \brief Plans and sends what is due, if the lease is held. Call every planPeriod.
-    /// \param listedAsOf the engines' entries are known as of then; nothing is planned by an old
-    /// view, and an order counts as lost only if a later view does not show its effect.
+    /// \brief Plans and sends the orders that are due if the lease is held. Call every planPeriod.
+    /// \param listedAsOf time up to which the list of engines is known to be current. A stale list
+    /// is not planned on, and an order counts as lost only if a later list does not show its
+    /// effect.
     void tick(const RouteTable &routes, TimePoint listedAsOf);
 
-    /// \brief Requests have come, so loads take their full time from now on.
+    /// \brief Records that requests have arrived; from now on loads take their full time.
     void setTrafficSeen() { isFirstLoad_ = false; }
 
-    /// \brief The whole system starts for the first time: loads are fast until traffic comes.
+    /// \brief Records the first start of the whole system; loads are fast until traffic arrives.
     void setFirstStart() { isFirstLoad_ = true; }
 
-    /// \brief Groups' worth of work by model, as measured.
+    /// \brief Sets the measured demand by model, in groups.
     void setDemand(std::map<ModelName, double> demand) { demand_ = std::move(demand); }
 
-    /// A repair takes four steps, each of which waits for this at the worst; short against the 200
-    /// ms that a join of a loaded engine takes.
+    /// A repair takes four steps, each of which may be delayed by one period. The period is short
+    /// compared with the 200 ms in which an engine with a loaded model joins a group.
     static constexpr Duration planPeriod = std::chrono::milliseconds(40);
 
 private:
-    /// What members of a stalled group answered.
+    /// Progress of querying the members of a group.
     struct StateQuery
     {
-        std::size_t pendingAnswers_ = 0; ///< Questions without an answer yet.
+        std::size_t pendingAnswers_ = 0; ///< Queries that are not answered yet.
         TimePoint sentAt_{};
-        int rounds_ = 0; ///< Of questions, without a longer pause between them.
+        int rounds_ = 0; ///< Consecutive rounds without a longer pause in between.
     };
 
-    /// What is remembered of one service's engines.
+    /// State kept between runs for the engines of one service.
     struct ServiceState
     {
         GroupHeads heads_;
-        std::map<VmId, TimePoint> freeSince_; ///< Engines without a group.
+        std::map<VmId, TimePoint> freeSince_; ///< Since when engines have been without a group.
         TimePoint ungroupedQueriedAt_{};
-        std::size_t engineCount_ = 0; ///< Listed at the first start.
-        TimePoint countedAt_{};       ///< When that changed last.
+        std::size_t engineCount_ = 0; ///< Listed engines; updated during the first start.
+        TimePoint countedAt_{};       ///< Last change of engineCount_.
         TimePoint loggedAt_{};
     };
 
@@ -99,27 +100,27 @@
     ManagerParts parts_;
     bool isFirstLoad_ = false;
     std::map<ModelName, double> demand_;
-    /// An order whose effect is not seen yet.
+    /// An order that has not taken effect yet.
     struct Pending
     {
         TimePoint until_{};
-        Endpoint before_; ///< What the engine listed when the order was sent.
-        GroupName group_; ///< That it was ordered into; empty for other orders.
+        Endpoint before_; ///< The engine's entry when the order was sent.
+        GroupName group_; ///< Group that a join order names; empty for other orders.
     };
 
     std::map<VmId, Pending> pending_;
-    /// A load from the weight store that is under way.
+    /// A load from the weight store in progress.
     struct Load
     {
-        TimePoint until_{}; ///< By then it has ended.
+        TimePoint until_{}; ///< Latest time at which the load ends.
         ModelName model_;
-        std::uint64_t bornAt_ = 0; ///< Of the engine.
+        std::uint64_t bornAt_ = 0; ///< Start of the engine; see Endpoint::bornAt_.
     };
-    /// Questions in a row that an engine left open.
+    /// Consecutive queries that an engine has not answered.
     struct UnansweredQueries
     {
         std::uint32_t count_ = 0;
-        std::uint64_t bornAt_ = 0; ///< Of the engine.
+        std::uint64_t bornAt_ = 0; ///< Start of the engine; see Endpoint::bornAt_.
     };
 
     std::map<VmId, Load> loads_;
@@ -127,8 +128,8 @@
     std::map<GroupName, StateQuery> stateQueries_;
     std::map<VmId, UnansweredQueries> unansweredQueries_;
     TimePoint plannedAt_{};
-    std::uint64_t plannedRevision_ = 0; ///< Of the book when the last plan was made.
-    bool hadOrders_ = false;            ///< Orders were given or have ended since the last plan.
+    std::uint64_t plannedRevision_ = 0; ///< Revision of the endpoint book at the last plan.
+    bool hadOrders_ = false;            ///< Orders were sent or have completed since the last plan.
     Epoch counterEpoch_;
     std::uint64_t epochCounter_ = 0;
     bool wasHeld_ = false;
--- a/include/cardamombay/serving/replica_orders.hpp
+++ b/include/cardamombay/serving/replica_orders.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Orders to engines and what they answer.
+/// \brief Orders to engines and their answers.
 #pragma once
 
 #include <cardamombay/core/result.hpp>
@@ -12,38 +12,38 @@
 
 namespace cardamombay::serving {
 
-/// \brief Load the model and take a place in the group. Replaces an earlier membership.
+/// \brief Load the model and become a member of the group. Replaces an earlier membership.
 struct JoinOrder
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
     ModelName model_;
-    std::vector<VmId> members_; ///< The head first.
+    std::vector<VmId> members_; ///< In rank order, the head first.
 };
 
-/// \brief To the head: serve.
+/// \brief To the head: start serving.
 struct OpenOrder
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
 };
 
-/// \brief To the head: stop serving.
+/// \brief To the head: accept no more requests.
 struct CloseOrder
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
-    bool abortsRequests_ = false; ///< Else it finishes what it has.
+    bool abortsRequests_ = false; ///< If false, running requests are completed.
 };
 
-/// \brief Leave the group at once.
+/// \brief Leave the group immediately.
 struct LeaveOrder
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
 };
 
-/// \brief Load the model onto the host beside all other work.
+/// \brief Load the model onto the host in the background, without interrupting other work.
 struct StageOrder
 {
     ModelName model_;
@@ -54,20 +54,20 @@
 /// \brief Short name for logs and metrics.
 [[nodiscard]] std::string_view nameOf(const Order &order);
 
-/// \brief How an engine took an order.
+/// \brief Outcome of an order to an engine.
 enum class OrderAnswer {
-    Begun,    ///< It is being carried out.
-    Done,     ///< The state already holds.
-    Misfit,   ///< It does not fit the engine's state.
-    Outdated, ///< A higher fencing number or epoch has been seen.
-    Refused,  ///< Anything else; it will not be carried out.
-    Withheld, ///< Nothing was sent: the engine wants nothing for now.
+    Begun,    ///< The order is being executed.
+    Done,     ///< The engine already is in the requested state.
+    Misfit,   ///< The order is not valid in the engine's current state.
+    Outdated, ///< The engine has seen a higher fencing number or epoch.
+    Refused,  ///< Rejected for any other reason; the order will not be executed.
+    Withheld, ///< Not sent, since the engine is in a cooldown.
 };
 
 /// \brief Short name for logs and metrics.
 [[nodiscard]] std::string_view nameOf(OrderAnswer answer);
 
-/// \brief Sends orders and asks engines for their state. Answers come by callback, never inline.
+/// \brief Sends orders to engines and queries their state. Callbacks never run within the call.
 class ReplicaOrders
 {
 public:
@@ -77,19 +77,20 @@
     virtual ~ReplicaOrders() = default;
 
     /// \brief Sends \p order once.
-    /// \param fence fencing number of the lease under which it is given.
-    /// \param done gets TimedOut if the engine may still carry the order out, EndpointUnreachable
-    /// if it never got it.
+    /// \param fence fencing number of the lease under which the order is given.
+    /// \param done receives TimedOut if the engine may still execute the order, EndpointUnreachable
+    /// if the order never reached it.
     virtual void send(const Endpoint &engine, const Order &order, std::uint64_t fence,
                       Callback<OrderAnswer> done)
         = 0;
 
-    /// \brief Asks \p engine for its present state; \p engine gives what the answer leaves out.
-    /// \param done gets EndpointUnreachable if there was no connection, TimedOut if there was one
-    /// and no answer came, EndpointRefused if another engine is at the address.
+    /// \brief Queries the current state of \p engine; fields missing from the answer are taken from
+    /// \p engine.
+    /// \param done receives EndpointUnreachable if no connection was made, TimedOut if a connection
+    /// was made but no answer came, EndpointRefused if another engine answers at the address.
     virtual void state(const Endpoint &engine, Callback<Endpoint> done) = 0;
 
-    /// \brief Called with what answers say of the engines that gave them.
+    /// \brief Sets the handler for the notices that engines attach to their answers.
     void onNotices(std::function<void(const EndpointLife &, const AnswerNotices &)> action)
     {
         noticed_ = std::move(action);
--- a/include/cardamombay/serving/replica_planner.hpp
+++ b/include/cardamombay/serving/replica_planner.hpp
@@ -1,8 +1,8 @@
 /// \file
 /// \brief Decides which engines form which groups.
-/// \details Pure: takes what the engines report and gives the orders that are due. Guards that no
-/// group serves without all its members, and that no engine is taken from a group whose head still
-/// serves or may still serve.
+/// \details A pure function from the engines' reports to the orders that are due. Invariants: a
+/// group is opened only with all its members, and no engine is reassigned from a group whose head
+/// is or may be serving.
 #pragma once
 
 #include <cardamombay/serving/configuration.hpp>
@@ -17,23 +17,22 @@
 
 namespace cardamombay::serving {
 
-/// \brief What the planner knows.
+/// \brief Input of one planner run.
 struct PlanInput
 {
-    std::span<const Endpoint *const> engines_; ///< Listed engines of the service.
+    std::span<const Endpoint *const> engines_; ///< The service's listed engines.
     const EngineProfile *profile_ = nullptr;
-    std::set<VmId> stalledHeads_;       ///< Heads whose streams stand still.
-    std::set<VmId> pending_;            ///< Engines with an order whose effect is not seen yet.
-    std::map<VmId, GroupName> joining_; ///< Those of them that were ordered into a group.
-    std::set<VmId> unresponsive_;       ///< Listed, but they do not answer; counted as missing.
-    std::set<VmId> recentlyFreed_;      ///< Have been without a group for a moment only.
-    std::map<VmId, ModelName> loading_; ///< What engines load from the weight store.
-    std::set<GroupName>
-        releasedGroups_;       ///< Their heads have left; members may join another group at once.
-    bool isFirstLoad_ = false; ///< No request has come yet, so loads are fast.
-    std::map<ModelName, double> demand_; ///< Groups' worth of work by model; empty if unknown.
-    const ModelMix *mix_ = nullptr;      ///< None: engines keep their models.
-    std::function<std::uint64_t()> nextEpoch_; ///< Rises over all planners.
+    std::set<VmId> stalledHeads_;        ///< Heads whose streams have stalled.
+    std::set<VmId> pending_;             ///< Engines with an order that has not taken effect yet.
+    std::map<VmId, GroupName> joining_;  ///< Groups that pending engines were ordered to join.
+    std::set<VmId> unresponsive_;        ///< Listed but not answering; treated as missing.
+    std::set<VmId> recentlyFreed_;       ///< Left their group only moments ago.
+    std::map<VmId, ModelName> loading_;  ///< Loads from the weight store in progress.
+    std::set<GroupName> releasedGroups_; ///< Groups whose heads have left; see GroupHeads.
+    bool isFirstLoad_ = false;           ///< No request has arrived yet, so loads are fast.
+    std::map<ModelName, double> demand_; ///< Demand by model, in groups; empty if unknown.
+    const ModelMix *mix_ = nullptr;      ///< Null: engines keep their models.
+    std::function<std::uint64_t()> nextEpoch_; ///< Increases across all planners.
 };
 
 /// \brief An order to one engine.
@@ -42,13 +41,13 @@
     VmId engine_;
     Order order_;
     std::string reason_; ///< For the log.
-    bool loads_ = false; ///< It starts a load from the weight store.
+    bool loads_ = false; ///< The order starts a load from the weight store.
 };
 
-/// \brief The orders that are due now.
+/// \brief Orders that are due now.
 using Plan = std::vector<PlannedOrder>;
 
-/// \brief Plans the groups of one service.
+/// \brief Computes the orders that are due for the groups of one service.
 [[nodiscard]] Plan planReplicas(const PlanInput &input);
 
 } // namespace cardamombay::serving
--- a/src/serving/engine_model.cpp
+++ b/src/serving/engine_model.cpp
@@ -40,7 +40,7 @@
 
 Duration EngineModel::maxEventInterval() const
 {
-    // Each step of a pass may read a chunk of the prompts that wait.
+    // Each decoding step may be preceded by the prefill of one chunk of the waiting prompts.
     return eventInterval(profile_.slots_, meanContext())
            + prefillTime(profile_.promptChunk_) * profile_.stride_;
 }
--- a/src/serving/group_view.cpp
+++ b/src/serving/group_view.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr char warmUpMark = 'w'; ///< Stands before the epoch; epochs are digits.
+constexpr char warmUpMark = 'w'; ///< Precedes the epoch, which consists of digits only.
 
 } // namespace
 
--- a/src/serving/model_mix.cpp
+++ b/src/serving/model_mix.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-/// Groups per group's worth of work, after a loss, beyond which a model gets no more of another's:
-/// the places that are free then bear the loss of a fabric domain and a burst of half of the work
-/// more.
+/// Ratio of capacity to demand, after the loss of one group, at which a model receives no more
+/// groups from others: the remaining headroom covers the loss of a fabric domain and a burst of
+/// 50% more work.
 constexpr double sufficientCoverage = 1.6;
 
-/// A model never goes below that many groups for another one: one of them may be lost.
+/// Groups that a model always keeps, so that it still has one after a loss.
 constexpr double minRemainingGroups = 2;
 
-/// Groups' worth; below it a coverage says nothing.
+/// Lower bound of the demand, in groups; below it the ratio is meaningless.
 constexpr double minDemand = 0.01;
 
 } // namespace
 
-/// An engine that is lost takes its whole group; of a model with few large ones that is more of its
-/// work.
+/// The loss of an engine takes down its whole group, which weighs more for a model with few large
+/// groups.
 double ModelLoad::coverageAfterLoss(double more) const
 {
     return std::max(0.0, groups_ + more - 1) / std::max(demand_, minDemand);
 }
 
-/// Engines that are left over make fabric domains in which neither model repairs itself. With
-/// groups of four that became groups of three callers got 0.040 less of a day's worth (standard
-/// error 0.018, 24 paired plays of 54 engines) and 0.052 less (0.024, 23 plays of another 54).
+/// Leftover engines would create fabric domains in which neither model can replace a lost member.
+/// Converting groups of four into groups of three cost callers 0.040 of a day's worth (standard
+/// error 0.018, 24 paired runs with 54 engines) and 0.052 (0.024, 23 runs with another 54).
 std::size_t Conversion::groupsMade() const
 {
     const bool isWhole = to_->members_ > 0 && from_->members_ % to_->members_ == 0;
@@ -40,11 +40,11 @@
     return std::nullopt;
 }
 
-/// A model gives only what it has beyond enough: a group that it gave comes back no sooner than its
-/// engines have loaded. Of the callers of a mix that has shifted 0.047 find no place at a group, in
-/// place of 0.093 with kept domains (162 engines on the paused clock, five seeds).
-/// Engines of smaller groups that a larger one lacks are lent by the planner, which knows whose
-/// hosts have its weights.
+/// A model gives up only surplus groups, since reversing a conversion takes a full model load. With
+/// a shifted demand, 4.7% of the callers of the overloaded model find no free slot, compared with
+/// 9.3% without conversions (162 engines on a simulated clock, five seeds).
+/// Small groups are not converted into larger ones here: the planner reclaims their engines itself,
+/// since it knows which hosts have the weights.
 std::optional<Conversion> DemandMix::next(std::span<const ModelLoad> models) const
 {
     std::optional<Conversion> best;
--- a/src/serving/planner_converting.cpp
+++ b/src/serving/planner_converting.cpp
@@ -1,4 +1,4 @@
-// The converting part of the planner: groups of one model whose engines go on with another one.
+// Converts groups of one model into groups of another.
 #include "serving/planner_run.hpp"
 
 #include <algorithm>
@@ -22,8 +22,8 @@
     return result;
 }
 
-/// Groups that change are counted as changed, so that each run chooses the same ones again and no
-/// more than are needed.
+/// Groups being converted are counted as groups of the target model, so that each run selects the
+/// same groups again and no more than necessary.
 void PlannerRun::convert()
 {
     if (input_.isFirstLoad_ || input_.demand_.empty() || input_.mix_ == nullptr)
@@ -42,8 +42,8 @@
     }
 }
 
-/// The group that changes next: one that has begun to make way, or else the one that has least to
-/// load.
+/// The group to convert next: preferably one that is already closing, otherwise the one with the
+/// fewest engines that still have to load the model.
 const GroupView *PlannerRun::convertible(const Conversion &conversion) const
 {
     const auto ready = [&](const GroupView &group) {
@@ -91,7 +91,7 @@
               std::string(convertReason));
 }
 
-/// Its engines load the other model onto their hosts while they serve on.
+/// The group's engines load the target model onto their hosts while the group continues to serve.
 void PlannerRun::stageForConversion(const GroupView &group, const Model &model)
 {
     for (const auto *member : group.members_) {
--- a/src/serving/planner_forming.cpp
+++ b/src/serving/planner_forming.cpp
@@ -1,4 +1,4 @@
-// The forming half of the planner: new groups from free engines, and what the others load.
+// Forms new groups from free engines and selects what the remaining engines load.
 #include "serving/planner_run.hpp"
 
 #include <algorithm>
@@ -7,18 +7,19 @@
 
 namespace {
 
-/// Added to the groups per need of a model, so that none takes all loads.
+/// Added to a model's coverage when loads are ranked, so that no model takes all of them.
 constexpr double coverageOffset = 0.3;
 
-/// Share of a model's capacity that may make way at once, so that the other groups bear its work: a
-/// group finishes its answers within about 3 s.
+/// Share of a model's capacity that may be closing at the same time, so that the other groups can
+/// handle its work; a closing group completes its answers within about 3 s.
 constexpr double maxClosingShare = 0.15;
-/// The same for groups that only together make one in a domain, while no others make way.
+/// The same limit if no group of the model is closing yet, for several cross-domain groups that
+/// must close together to form one group in a domain.
 constexpr double maxFirstClosingShare = 0.4;
 
 } // namespace
 
-/// Groups per need; the model with the least is served worst.
+/// Ratio of capacity to demand; the model with the lowest ratio is served worst.
 double PlannerRun::coverage(const Model &model) const
 {
     return coverage(model, groups_.at(model.name_));
@@ -28,12 +29,12 @@
 {
     const auto known = input_.demand_.find(model.name_);
     const double need = known == input_.demand_.end() ? model.share_ : known->second;
-    // The operators' shares are of the work of engines, measured demand is in groups.
+    // Configured shares are proportions of engine work, whereas measured demand is in groups.
     const double capacity = known == input_.demand_.end() ? groups * model.members_ : groups;
     return capacity / std::max(need, 0.01);
 }
 
-/// Spare engines of the domain that have the model or load it now.
+/// Number of spare engines of the domain that have the model or are loading it.
 std::size_t PlannerRun::countWithModel(const FabricDomain &domain, const Model &model) const
 {
     const auto free = free_.find(domain);
@@ -56,7 +57,7 @@
         }));
 }
 
-/// Coverage with the groups that the spare engines of the domains make once they have loaded.
+/// Coverage including the groups that the spare engines of each domain will form after their loads.
 double PlannerRun::projectedCoverage(const Model &model) const
 {
     double groups = groups_.at(model.name_);
@@ -67,7 +68,8 @@
     return coverage(model, groups);
 }
 
-/// The worst served model that enough of \p free can serve at least as soon as \p worst.
+/// The model with the lowest coverage that enough engines of \p free can serve with readiness
+/// \p worst or better.
 const Model *PlannerRun::worstServedModel(const Engines &free, Readiness worst) const
 {
     const Model *best = nullptr;
@@ -92,8 +94,8 @@
 bool PlannerRun::formNextGroup(Engines &free)
 {
     const auto *model = worstServedModel(free, Readiness::Staged);
-    // Without weights at hand a group waits for its slowest load. At the first start there is
-    // nothing better; later engines load one by one while they are spare.
+    // A group whose members must load weights waits for the slowest load. That is acceptable only
+    // at the first start; later, engines load one by one while they are spare.
     if (model == nullptr && input_.isFirstLoad_ && mayLoad())
         model = initialModel(free);
     if (model == nullptr)
@@ -131,7 +133,7 @@
     return group.spansDomains() ? 1 / input_.profile_->farFactor_ : 1;
 }
 
-/// True if the far group's engines in some domain and the spares there make a group of their own.
+/// True if, in some domain, the cross-domain group's engines and the spares there form a group.
 bool PlannerRun::fitsOneDomain(const GroupView &group, const Model &model) const
 {
     std::map<FabricDomain, std::size_t> able;
@@ -151,15 +153,15 @@
     return false;
 }
 
-/// Groups over several domains make way for groups in one domain: the engines of several of them
-/// and the spares of a domain may make one that none of them does alone.
+/// Closes groups that span fabric domains in favour of groups within one domain. The engines of
+/// several such groups together with a domain's spares may form a group that none could form alone.
 void PlannerRun::consolidateGroups()
 {
     for (const auto &model : input_.profile_->models_)
         consolidate(model);
 }
 
-/// Spare engines of each domain that have the model at hand and are left over by whole groups.
+/// Per domain, the spare engines with the model at hand that remain after forming complete groups.
 std::map<FabricDomain, std::size_t> PlannerRun::leftoverSpares(const Model &model) const
 {
     std::map<FabricDomain, std::size_t> result;
@@ -219,13 +221,13 @@
             count(*group);
             std::erase(open, group);
             order(*group->head_, CloseOrder{group->group_, group->epoch_, false},
-                  "a group in one domain is possible");
+                  "a group within one domain is possible");
         }
     }
 }
 
-/// The fewest of \p open whose engines in \p domain, with \p able others there, make a group; none
-/// if all do not.
+/// The smallest set of groups of \p open whose engines in \p domain, together with \p able others
+/// there, form a group; empty if there is none.
 std::vector<const GroupView *> PlannerRun::groupsToConsolidate(const Model &model,
                                                                const FabricDomain &domain,
                                                                std::size_t able,
@@ -249,14 +251,15 @@
     return able >= model.members_ ? result : std::vector<const GroupView *>();
 }
 
-/// Spares of all domains that have the model at hand, those first whose domain has the most. Those
-/// that were freed just now wait for others of their domain: of 3,300 joins on a day with many
-/// losses 700 were to groups over domains that were given up before they opened.
+/// Spares of all domains that have the model at hand, starting with the domain that has most of
+/// them. Recently freed engines are excluded so that they can form a group with others of their
+/// domain: on a day with many losses, 700 of 3,300 joins went to cross-domain groups that were
+/// dissolved before they opened.
 PlannerRun::Engines PlannerRun::settledSpares(const Model &model) const
 {
     std::vector<Engines> byDomain;
     for (const auto &[domain, engines] : free_) {
-        // They wait for the engines that their own domain lends them or far groups give back.
+        // Spares of these domains wait for reclaimed engines or for engines of cross-domain groups.
         if (reclaiming_.contains(domain) || consolidating_.contains(domain))
             continue;
         Engines warm;
@@ -276,7 +279,8 @@
     return result;
 }
 
-/// Survivors in several domains serve together, slower, until one of the domains has enough.
+/// Forms slower groups across fabric domains from spares, until one domain has enough engines
+/// itself.
 void PlannerRun::formAcrossDomains()
 {
     if (input_.isFirstLoad_)
@@ -293,8 +297,8 @@
     }
 }
 
-/// What a load brings for each second of it, with those that the domain lacks beside it for another
-/// group of the model.
+/// Benefit of a load per second of load time, where the time includes all loads that the domain
+/// still needs for another group of the model.
 double PlannerRun::loadBenefit(const FabricDomain &domain, const Model &model) const
 {
     const auto missing = model.members_ - countWithModel(domain, model) % model.members_;
@@ -307,8 +311,9 @@
     return engine.staged_.empty() && !hasOrder(engine) && !isLoading(engine);
 }
 
-/// At the first start the domains come one after the other, each begun by a whole group; what is
-/// left over loads what the groups that lose most with an engine have.
+/// At the first start, domains are filled one after the other, each beginning with a complete
+/// group. The remaining engines load the model of the largest groups, which lose most with an
+/// engine.
 void PlannerRun::loadAtStart(const Engines &free)
 {
     for (const auto *engine : free) {
@@ -321,7 +326,7 @@
     }
 }
 
-/// One load after the other goes where it brings the most.
+/// Starts loads in order of their benefit until the limit on concurrent loads is reached.
 void PlannerRun::loadSpares()
 {
     while (mayLoad()) {
@@ -345,13 +350,13 @@
     }
 }
 
-/// Spare engines that have the model on their host load it into memory, alone: in a group that
-/// takes the place of a broken one they are ready after 0.2 s in place of 1.6.
+/// Spare engines with a model on their host load it into memory in a warm-up group of their own.
+/// When they later replace members of a broken group, they are ready after 0.2 s instead of 1.6 s.
 void PlannerRun::warmUpSpares(const Engines &free)
 {
     for (const auto *engine : free) {
         const auto *model = engine->staged_.empty() ? nullptr : modelNamed(engine->staged_.front());
-        // What is in memory would make way for it, and serves at once.
+        // A model that is already in memory can serve immediately and would be evicted.
         if (model == nullptr || hasOrder(*engine) || !engine->model_.isEmpty())
             continue;
         JoinOrder join;
--- a/src/serving/planner_reclaiming.cpp
+++ b/src/serving/planner_reclaiming.cpp
@@ -1,5 +1,5 @@
-// The lending half of the planner: domains that serve several models, and what repairs their larger
-// groups.
+// Handles fabric domains that serve several models: engines of smaller groups are reclaimed to
+// repair larger groups.
 #include "serving/planner_run.hpp"
 
 #include <algorithm>
@@ -8,11 +8,13 @@
 
 namespace {
 
-/// Groups per group's worth of work below which a model is short: its groups are nearly full then.
-/// Lending only below 1.5, also where survivors wait, cost 0.015 of a day's worth (s.e. 0.018).
+/// Ratio of capacity to demand below which a model lacks capacity, since its groups are nearly
+/// full. Reclaiming only below 1.5, even where survivors were waiting, cost 0.015 of a day's worth
+/// (standard error 0.018).
 constexpr double sufficientCoverage = 1.3;
 
-/// The loads at once divided by this may be reserves; the rest is for engines that have nothing.
+/// Divisor of the limit on concurrent loads that applies to reserve loads; the remaining loads are
+/// kept for engines without any model.
 constexpr std::uint32_t reserveLoadsDivisor = 2;
 
 } // namespace
@@ -35,8 +37,9 @@
     }
 }
 
-/// True if the host of a member has \p model for the case that its group is converted. Its domain
-/// does not serve that model yet, and engines that come empty load the domain's own.
+/// True if a member's host has \p model staged only for a possible conversion of its group. The
+/// domain does not serve that model yet, and new empty engines should load the domain's current
+/// models.
 bool PlannerRun::isStagedForConversion(const Endpoint &engine, const ModelName &model) const
 {
     const auto *staged = modelNamed(model);
@@ -45,7 +48,8 @@
     return staged != nullptr && own != nullptr && staged->members_ < own->members_;
 }
 
-/// The model that engines of smaller groups keep on their hosts; null in a domain of one model.
+/// The model with the largest groups of the domain, which engines of smaller groups keep on their
+/// hosts; null if the domain has only one model.
 const Model *PlannerRun::reserveModel(const FabricDomain &domain) const
 {
     const auto found = presentModels_.find(domain);
@@ -56,7 +60,7 @@
         [](const Model *left, const Model *right) { return left->members_ < right->members_; });
 }
 
-/// True if beside a group of \p model the domain has room for a group of a smaller one.
+/// True if a domain of \p engines has room for a group of a smaller model beside one of \p model.
 bool PlannerRun::leavesRoomForSmaller(const Model &model, std::size_t engines) const
 {
     const auto &models = input_.profile_->models_;
@@ -65,9 +69,9 @@
     });
 }
 
-/// True if a domain of \p engines is better filled with groups of several models: groups of the
-/// largest one would take all of its engines and leave no spare, so that each loss takes a whole
-/// group until another engine has loaded.
+/// True if a domain of \p engines should hold groups of several models: groups of the largest model
+/// alone would use all engines and leave no spare, so that each loss would take down a whole group
+/// until another engine has loaded the model.
 bool PlannerRun::shouldMixModels(std::size_t engines) const
 {
     const auto &models = input_.profile_->models_;
@@ -79,7 +83,7 @@
            && engines % largest->members_ == 0;
 }
 
-/// The model that a domain without any begins with, or goes on with.
+/// The model of the next group in a domain whose free engines have no weights.
 const Model *PlannerRun::initialModel(const Engines &free) const
 {
     if (free.empty())
@@ -89,7 +93,7 @@
         const auto *model = found == domainModels_.end() ? nullptr : found->second;
         return model != nullptr && free.size() >= model->members_ ? model : nullptr;
     }
-    // The largest comes first: engines are listed one after the other, and the small groups would
+    // The largest group is formed first: engines are listed one by one, and small groups would
     // leave no room for it.
     const auto present = presentModels_.find(free.front()->domain_);
     const bool isBegun = present != presentModels_.end() && !present->second.empty();
@@ -107,7 +111,7 @@
     return best;
 }
 
-/// The model that an engine without any loads.
+/// The model that an engine without a model should load.
 const Model *PlannerRun::modelToLoad(const FabricDomain &domain)
 {
     const auto &present = presentModels_[domain];
@@ -119,9 +123,9 @@
                              });
 }
 
-/// Spare engines that a larger group lacks come from smaller groups of the same domain, if their
-/// model is served better: a load takes 12 to 16 s, a group that finishes its work about 3. Without
-/// this callers get 0.16 less of a day's worth (standard error 0.04, 12 paired plays of 48
+/// Completes larger groups with engines of smaller groups of the same domain if the smaller groups'
+/// model has the higher coverage: a load takes 12 to 16 s, while closing a group takes about 3 s.
+/// Not doing so cost callers 0.16 of a day's worth (standard error 0.04, 12 paired runs with 48
 /// engines).
 void PlannerRun::reclaim()
 {
@@ -151,12 +155,12 @@
         groups_[group->model_] -= capacityOf(*group);
         if (group->state() == MemberState::Open && !input_.pending_.contains(group->head_->id_))
             order(*group->head_, CloseOrder{group->group_, group->epoch_, false},
-                  "its engines complete a larger group");
+                  "its engines are needed to complete a larger group");
     }
 }
 
-/// Groups of \p domain whose engines make up for \p missing ones; none if that would serve another
-/// model worse than \p model is served now.
+/// Groups of \p domain that supply \p missing engines; empty if that would take another model's
+/// last group or reduce its coverage to that of \p model or below.
 std::vector<const GroupView *> PlannerRun::groupsToReclaim(const Model &model,
                                                            const FabricDomain &domain,
                                                            std::size_t missing) const
@@ -173,7 +177,7 @@
                 groups.push_back(group);
         }
     }
-    // Those that have begun to make way come first.
+    // Groups that are already closing come first.
     std::stable_sort(groups.begin(), groups.end(), [](const auto *left, const auto *right) {
         return left->state() != MemberState::Open && right->state() == MemberState::Open;
     });
@@ -198,10 +202,10 @@
     return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_ / reserveLoadsDivisor;
 }
 
-/// Engines of the smaller groups keep the weights of the largest model on their hosts, beside the
-/// model that they serve. Without this callers get 0.25 less of a day's worth (standard error 0.03,
-/// 12 paired plays of 48 engines); with a reserve of a part of the groups 0.047 less (0.013, 35
-/// plays).
+/// Engines of smaller groups keep the weights of the largest model on their hosts, in addition to
+/// the model that they serve. Not doing so cost callers 0.25 of a day's worth (standard error 0.03,
+/// 12 paired runs with 48 engines), and a reserve in only a part of the groups 0.047 (0.013, 35
+/// runs).
 void PlannerRun::stageReserveModels()
 {
     for (const auto *list : {&ready_, &serving_}) {
--- a/src/serving/planner_run.cpp
+++ b/src/serving/planner_run.cpp
@@ -1,4 +1,4 @@
-// The reviewing half of the planner: what becomes of the groups that are listed.
+// Reviews the listed groups: which are opened, closed or dissolved.
 #include "serving/planner_run.hpp"
 
 #include <algorithm>
@@ -18,8 +18,9 @@
     loads_ += loads ? 1 : 0;
 }
 
-/// Before the first traffic loads take a tenth of their time and do not slow each other down; all
-/// 54 engines of a deployment had their weights when traffic came, in place of 42 with the limit.
+/// Before the first traffic, loads take a tenth of their usual time and do not slow each other
+/// down. Without the limit, all 54 engines of a deployment had their weights when traffic arrived,
+/// compared with 42 under the limit.
 bool PlannerRun::mayLoad() const
 {
     return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_;
@@ -61,8 +62,8 @@
     consolidateGroups();
     for (auto &[domain, engines] : free_) {
         formInDomain(engines);
-        // At the first start a domain is filled before the next one is begun: full domains repair
-        // themselves without a load.
+        // At the first start, each domain is filled before the next one is started: full domains
+        // can replace a lost member without a load.
         if (input_.isFirstLoad_)
             loadAtStart(engines);
     }
@@ -75,9 +76,9 @@
     return std::move(result_);
 }
 
-/// A model's need of domains against that of others: its share of the work, more for the engines
-/// that its groups leave over. Losses leave any number below the size of a group, half of it at the
-/// mean.
+/// Weight with which a model competes for fabric domains: its share of the work, increased to
+/// compensate for the engines that its groups leave unused. After losses the number of unused
+/// engines in a domain lies between 0 and the group size minus one, half of that on average.
 double PlannerRun::domainWeight(const Model &model) const
 {
     const double size = std::max<double>(static_cast<double>(domainSize_), model.members_);
@@ -85,8 +86,9 @@
     return model.share_ * size / (size - stranded);
 }
 
-/// The model that the engines of each fabric domain serve. Groups of one model side by side repair
-/// each other: survivors of two broken groups form a whole one at once, without a load.
+/// The model that the engines of each fabric domain serve. Groups of the same model in a domain can
+/// replace each other's members: the survivors of two broken groups form a complete one
+/// immediately, without a load.
 std::map<FabricDomain, const Model *> PlannerRun::domainModels()
 {
     std::map<FabricDomain, std::map<ModelName, int>> staged;
@@ -109,8 +111,8 @@
         if (result[domain] != nullptr)
             domains[result[domain]->name_] += 1;
     }
-    // Domains are apportioned by the rounding that favours neither large nor small shares: by the
-    // half domain that is next. Six domains of 9 make four for groups of 4 and two for groups of 3.
+    // Domains are apportioned by Webster's method, which favours neither large nor small shares.
+    // For example, of six domains of 9 engines, four go to groups of 4 and two to groups of 3.
     const auto quotientOf
         = [&](const Model &model) { return (domains[model.name_] + 0.5) / domainWeight(model); };
     for (auto &[domain, wanted] : result) {
@@ -126,24 +128,25 @@
     return result;
 }
 
-/// An engine that may get a new place.
+/// Adds the engine to the free engines unless it is draining or has a pending order.
 void PlannerRun::addIfFree(const Endpoint &engine)
 {
     if (!engine.isDraining_ && !input_.pending_.contains(engine.id_))
         free_[engine.domain_].push_back(&engine);
 }
 
-/// True if the head of the engine's group has left it, so that nothing can begin there.
+/// True if the head of the engine's group has left, so that no request can start there.
 bool PlannerRun::isReleased(const Endpoint &engine) const
 {
     return engine.membership_ && input_.releasedGroups_.contains(engine.membership_->group_);
 }
 
-/// Without its head a group serves nothing, and the others may join another one at once. Each step
-/// of an engine is a write to the platform's list, which takes some hundreds a second: 1,100
-/// engines that left before they joined kept a planner's view 1 s old for 4 s. If the head is lost,
-/// all others leave: it may still serve, cut off from here, or an order to open may still be on
-/// its way to it; without its members nothing begins there.
+/// Dissolves a group by telling its head to leave; without a head the group serves nothing, and the
+/// other members can join another group directly. This saves writes to the platform's list, which
+/// accepts a few hundred per second: when 1,100 engines each left before joining, the planner's
+/// view lagged by 1 s for 4 s. If the head is lost, all other members are told to leave, because
+/// the head may be partitioned and still serving, or an open order may still be in flight to it;
+/// without its members no request can start there.
 void PlannerRun::dissolve(const GroupView &group, std::string_view reason)
 {
     if (group.head_ != nullptr) {
@@ -166,9 +169,10 @@
     const auto *model = modelNamed(group.model_);
     if (model == nullptr) {
         if (group.head_ != nullptr && group.state() == MemberState::Open)
-            order(*group.head_, CloseOrder{group.group_, group.epoch_, false}, "model not wanted");
+            order(*group.head_, CloseOrder{group.group_, group.epoch_, false},
+                  "model not configured");
         else if (group.head_ != nullptr && group.state() != MemberState::Closing)
-            dissolve(group, "model not wanted");
+            dissolve(group, "model not configured");
         return;
     }
     const bool isComplete = group.isComplete(model->members_) && !group.hasDrainingMember();
@@ -195,7 +199,7 @@
                 [this](const Endpoint *member) { return input_.pending_.contains(member->id_); }))
             groups_[model->name_] += 1;
         else
-            dissolve(group, "not all members join");
+            dissolve(group, "not all members joined");
         break;
     case MemberState::Broken:
         dissolve(group, "broken");
@@ -203,10 +207,10 @@
     }
 }
 
-/// True while members that were ordered into the group are not listed in it yet. The feed brings
-/// their steps one after the other: of 18 groups that were ordered at one moment 4 were given up
-/// within 40 ms, since their first members were listed before the others. Without this callers get
-/// 0.064 less of a day's worth (standard error 0.024, 12 paired plays of 48 engines).
+/// True while members that were ordered to join the group are not listed in it yet. The feed
+/// delivers their changes one by one: without this check, 4 of 18 groups ordered at the same time
+/// were dissolved within 40 ms because their first members were listed before the others, which
+/// cost callers 0.064 of a day's worth (standard error 0.024, 12 paired runs with 48 engines).
 bool PlannerRun::isAssembling(const GroupView &group, const Model &model) const
 {
     const auto missing
@@ -220,7 +224,8 @@
            && listed + static_cast<std::size_t>(missing) == model.members_;
 }
 
-/// An engine that has loaded its model is spare again.
+/// Dissolves a warm-up group once its engine has loaded the model, so that the engine is free
+/// again.
 void PlannerRun::reviewWarmUp(const GroupView &group)
 {
     const bool isLoading = group.state() == MemberState::Joining;
@@ -235,8 +240,8 @@
         serving_.push_back(&group);
         return;
     }
-    // A group that stands still cannot finish its work. A member that is leaving, also one that is
-    // no longer listed, stays until its group has finished.
+    // A stalled group cannot complete its requests. A draining member, even one that is no longer
+    // listed, stays until its group has completed them.
     if (input_.stalledHeads_.contains(group.head_->id_) || hasUnresponsive(group)) {
         dissolve(group, "member lost");
         return;
@@ -265,14 +270,14 @@
         return;
     }
     if (group.spansDomains() && fitsOneDomain(group, *modelNamed(group.model_))) {
-        dissolve(group, "a group in one domain is possible");
+        dissolve(group, "a group within one domain is possible");
         return;
     }
     groups_[group.model_] += capacityOf(group);
     ready_.push_back(&group);
 }
 
-/// Groups whose engines are lent have finished their work; the others serve.
+/// Dissolves ready groups whose engines are needed elsewhere and opens the others.
 void PlannerRun::openReady()
 {
     for (const auto *group : ready_) {
--- a/src/serving/planner_run.hpp
+++ b/src/serving/planner_run.hpp
@@ -1,22 +1,22 @@
 /// \file
-/// \brief One run of the planner of replicas.
+/// \brief One run of the replica planner.
 #pragma once
 
 #include <cardamombay/serving/replica_planner.hpp>
 
 namespace cardamombay::serving::impl {
 
-/// \brief How soon an engine can serve a model.
+/// \brief How quickly an engine can serve a model.
 enum class Readiness {
-    Loaded, ///< Its last group had the model.
-    Staged, ///< Its host has it.
-    Empty,  ///< It must be loaded from the weight store.
+    Loaded, ///< The model is in the engine's memory.
+    Staged, ///< The model is on the engine's host.
+    Empty,  ///< The model must be loaded from the weight store.
 };
 
-/// \brief How soon \p engine can serve \p model.
+/// \brief How quickly \p engine can serve \p model.
 [[nodiscard]] Readiness readinessOf(const Endpoint &engine, const ModelName &model);
 
-/// \brief One run of the planner: reviews the groups, then forms new ones from what is free.
+/// \brief One planner run: reviews the existing groups, then forms new ones from free engines.
 class PlannerRun
 {
 public:
@@ -103,21 +103,21 @@
     [[nodiscard]] std::map<FabricDomain, const Model *> domainModels();
 
     const PlanInput &input_;
-    std::vector<const Endpoint *> engines_; ///< Those that answer.
+    std::vector<const Endpoint *> engines_; ///< Responsive engines.
     std::map<FabricDomain, const Model *> domainModels_;
     std::size_t domainSize_ = 1; ///< Engines of the largest fabric domain.
-    std::map<FabricDomain, std::set<const Model *>>
-        presentModels_; ///< Models that its engines have.
+    std::map<FabricDomain, std::set<const Model *>> presentModels_; ///< Models held by its engines.
     std::size_t loads_;
-    std::map<ModelName, double> groups_; ///< That serve or will.
+    std::map<ModelName, double> groups_; ///< Serving or being formed.
     std::map<FabricDomain, Engines> free_;
     std::set<FabricDomain> domainsWithGroups_;
-    std::vector<const GroupView *> serving_; ///< Whole groups.
-    std::vector<const GroupView *> ready_;   ///< Whole groups that may be opened.
+    std::vector<const GroupView *> serving_; ///< Complete groups.
+    std::vector<const GroupView *> ready_;   ///< Complete groups that can be opened.
     std::set<GroupName> dissolving_;         ///< Their engines are needed for other groups.
-    std::set<GroupName> converting_;         ///< Counted as groups of another model.
-    std::set<FabricDomain> consolidating_;   ///< Their spares wait for engines of far groups.
-    std::set<FabricDomain> reclaiming_;      ///< Their spares wait for engines that are lent.
+    std::set<GroupName> converting_;         ///< Already counted as groups of the target model.
+    std::set<FabricDomain>
+        consolidating_;                 ///< Their spares wait for engines of cross-domain groups.
+    std::set<FabricDomain> reclaiming_; ///< Their spares wait for reclaimed engines.
     Plan result_;
 };
 
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -11,38 +11,39 @@
 
 namespace {
 
-/// Rest of the lease that an order needs: its call and the clocks' drift.
+/// Remaining lease time required to send an order; covers the call and clock drift.
 constexpr Duration orderMargin = std::chrono::milliseconds(500);
 
-/// An engine lists a change at once; the feed brings it within a few hundred milliseconds. After
-/// that the order counts as lost and the planner decides anew.
+/// An engine publishes a change immediately, and the feed delivers it within a few hundred
+/// milliseconds. After this time the order counts as lost and is planned again.
 constexpr Duration orderEffectTimeout = std::chrono::milliseconds(800);
 
-/// A view of the engines that is older may miss groups that have formed since; a watch confirms it
-/// every 1.5 s at the latest.
+/// An older list of engines may lack groups that have formed since; the watch confirms the list at
+/// least every 1.5 s.
 constexpr Duration maxViewAge = std::chrono::milliseconds(2500);
 
-/// Pause between two rounds of questions; a question itself waits 150 ms. Grows with the rounds, as
-/// questions are priced: 36 engines of a dark domain left 245 of them unanswered in 7.6 s.
+/// Pause between two rounds of state queries; a single query times out after 150 ms. The pause
+/// grows with each round because queries have a cost: 36 engines of an unreachable fabric domain
+/// caused 245 unanswered queries in 7.6 s.
 constexpr Duration queryRetryPause = std::chrono::milliseconds(400);
 constexpr int maxRetryPauseFactor = 4;
 
-/// A plan is made at least that often, for what only time changes.
+/// Maximum time between two plans, for decisions that depend only on elapsed time.
 constexpr Duration maxPlanInterval = std::chrono::milliseconds(500);
 
-/// Engines that start together are listed within a few hundred milliseconds of each other; the
-/// callers come seconds later.
+/// Engines that start together are listed within a few hundred milliseconds of each other; traffic
+/// arrives seconds later.
 constexpr Duration listingSettleTime = std::chrono::milliseconds(500);
 
-/// Members of one group leave it within a few hundred milliseconds of each other.
+/// The members of a group leave it within a few hundred milliseconds of each other.
 constexpr Duration freedSettleTime = std::chrono::milliseconds(600);
 
 constexpr Duration capacityLogPeriod = std::chrono::seconds(1);
 
-/// Group epochs of one tenure of the lease; the lease's own epoch stands before them.
+/// Number of group epochs per lease epoch; the lease epoch forms the leading digits.
 constexpr std::uint64_t epochsPerTenure = 1'000'000;
 
-/// The model that an order loads; empty if it loads none.
+/// The model that the order loads; empty if it loads none.
 ModelName modelLoadedBy(const Order &order)
 {
     if (const auto *join = std::get_if<JoinOrder>(&order))
@@ -81,8 +82,8 @@
     }
 }
 
-/// Nothing can be due while no engine, no order and no stalled group has changed; demand moves
-/// slowly.
+/// No order can become due while engines, orders and stalled groups are unchanged. Demand changes
+/// slowly enough to be covered by maxPlanInterval.
 bool ReplicaManager::isDue(TimePoint now)
 {
     const bool hasChanged = parts_.book_.revision() != plannedRevision_ || hadOrders_
@@ -104,16 +105,16 @@
                || *engine != entry.second.before_;
     });
     hadOrders_ = hadOrders_ || ended > 0;
-    const auto hasRestarted = [this](const VmId &id, std::uint64_t bornAt) {
+    const auto isGoneOrRestarted = [this](const VmId &id, std::uint64_t bornAt) {
         const auto *engine = parts_.book_.find(id);
         return engine == nullptr || engine->bornAt_ != bornAt;
     };
     std::erase_if(unansweredQueries_, [&](const auto &entry) {
-        return hasRestarted(entry.first, entry.second.bornAt_);
+        return isGoneOrRestarted(entry.first, entry.second.bornAt_);
     });
     std::erase_if(loads_, [&](const auto &entry) {
         const auto *engine = parts_.book_.find(entry.first);
-        const bool isDone = hasRestarted(entry.first, entry.second.bornAt_)
+        const bool isDone = isGoneOrRestarted(entry.first, entry.second.bornAt_)
                             || engine->hasStaged(entry.second.model_);
         return isDone || now >= entry.second.until_;
     });
@@ -166,8 +167,8 @@
         send(order, *service.engine_);
 }
 
-/// Groups in zones that are evacuated stand until the zone is back, and nothing forms there; those
-/// that also have members elsewhere serve on.
+/// Groups within evacuated availability zones are left as they are until the zone returns, and no
+/// groups form there. Groups that also have members in other zones continue to serve.
 std::vector<const Endpoint *>
 ReplicaManager::plannable(const std::vector<const Endpoint *> &engines) const
 {
@@ -200,8 +201,8 @@
     serviceState.freeSince_ = std::move(free);
 }
 
-/// At the first start the engines are listed one after the other; how many share a fabric domain is
-/// known once no more come.
+/// At the first start, engines are listed one by one; the size of each fabric domain is known only
+/// once no more engines appear.
 bool ReplicaManager::isListingSettled(ServiceState &serviceState, std::size_t engines) const
 {
     const auto now = parts_.clock_.now();
@@ -210,7 +211,7 @@
     return now - serviceState.countedAt_ >= listingSettleTime;
 }
 
-/// One line a model each second: what serves, what is asked for and what could serve.
+/// Logs the open groups, the demand and the spare engines of each model once per second.
 void ReplicaManager::logCapacity(const Service &service, ServiceState &serviceState,
                                  const std::vector<const Endpoint *> &engines)
 {
@@ -220,22 +221,24 @@
     serviceState.loggedAt_ = now;
     const auto groups = groupsOf(engines);
     for (const auto &model : service.engine_->models_) {
-        const auto near = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
-            return one.model_ == model.name_ && one.state() == MemberState::Open
-                   && !one.spansDomains();
-        });
-        const auto far = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
-            return one.model_ == model.name_ && one.state() == MemberState::Open
-                   && one.spansDomains();
-        });
+        const auto inDomain
+            = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
+                  return one.model_ == model.name_ && one.state() == MemberState::Open
+                         && !one.spansDomains();
+              });
+        const auto crossDomain
+            = std::count_if(groups.begin(), groups.end(), [&](const GroupView &one) {
+                  return one.model_ == model.name_ && one.state() == MemberState::Open
+                         && one.spansDomains();
+              });
         const auto spares = std::count_if(engines.begin(), engines.end(), [&](const Endpoint *one) {
             return !one->membership_ && one->hasStaged(model.name_);
         });
         const auto demand = demand_.find(model.name_);
         log::info(event::capacity,
                   {{"model", model.name_.text()},
-                   {"open", std::to_string(near)},
-                   {"open-far", std::to_string(far)},
+                   {"open", std::to_string(inDomain)},
+                   {"open-far", std::to_string(crossDomain)},
                    {"spares", std::to_string(spares)},
                    {"demand-groups",
                     demand == demand_.end() ? "" : std::to_string(demand->second).substr(0, 5)},
@@ -244,7 +247,8 @@
     }
 }
 
-/// A group that stalls has lost a member, or its head: its members are asked which.
+/// Queries the members of stalled groups to find out which of them, or whether the head, has
+/// failed.
 void ReplicaManager::queryStalledGroups(const std::vector<const Endpoint *> &engines)
 {
     const auto now = parts_.clock_.now();
@@ -264,14 +268,15 @@
         query.rounds_ = isNew ? 1 : query.rounds_ + 1;
         query.sentAt_ = now;
         for (const auto *member : group.members_) {
-            // Once it is known who is silent, only they are asked again.
+            // Once unresponsive members are known, only those are queried again.
             if (!hasUnresponsiveMember || unansweredQueries_.contains(member->id_))
                 queryMember(group.group_, *member);
         }
     }
 }
 
-/// Engines that were left out and are in no group any more would be left out for good.
+/// Queries unresponsive engines that no longer belong to a group; the queries of groups do not
+/// cover them, so they would otherwise stay excluded forever.
 void ReplicaManager::queryUngroupedEngines(ServiceState &serviceState,
                                            const std::vector<const Endpoint *> &engines)
 {
@@ -295,13 +300,13 @@
     });
 }
 
-/// An engine that has started again since it was listed answers, but it is in no group any more.
+/// An engine that has restarted since it was listed does answer, but has lost its membership.
 void ReplicaManager::onStateAnswer(const GroupName &group, const VmId &member, std::uint64_t bornAt,
                                    const Result<Endpoint> &answer)
 {
     auto &query = stateQueries_[group];
     query.pendingAnswers_ -= query.pendingAnswers_ > 0 ? 1 : 0;
-    // It has answered this entry VM just before.
+    // The engine answered this entry VM only moments ago.
     if (isError<EndpointCoolingDown>(answer))
         return;
     const bool isRestarted = isOk(answer) && valueOf(answer).bornAt_ > bornAt;
@@ -312,7 +317,7 @@
     auto &unansweredQueries = unansweredQueries_[member];
     unansweredQueries.bornAt_ = bornAt;
     ++unansweredQueries.count_;
-    const auto problem = isRestarted ? "it has started again" : messageOf(errorOf(answer));
+    const auto problem = isRestarted ? "engine has restarted" : messageOf(errorOf(answer));
     log::info(event::engineSilent,
               {{"engine", member.text()},
                {"group", group.text()},
@@ -331,7 +336,7 @@
     const auto group = join == nullptr ? GroupName() : join->group_;
     pending_[planned.engine_] = {now + orderEffectTimeout, *engine, group};
     if (planned.loads_) {
-        // Loads that share the weight store take longer than one alone.
+        // Concurrent loads share the weight store and take longer than a single one.
         const auto model = modelLoadedBy(planned.order_);
         const auto alone = loadTimeOf(profile, model);
         loads_[planned.engine_]
@@ -361,7 +366,7 @@
         return;
     log::info(event::orderAnswered,
               {{"engine", engine.text()}, {"order", std::string(nameOf(order))}, {"answer", text}});
-    // A head that does not take the order to leave counts as lost, so that its members leave.
+    // A head that cannot be told to leave counts as lost, so that its members are told to leave.
     const auto *listed = parts_.book_.find(engine);
     if (!isOk(answer) && std::holds_alternative<LeaveOrder>(order) && listed != nullptr) {
         auto &unansweredQueries = unansweredQueries_[engine];
