--- a/tests/serving/cross_domain_groups.cpp
+++ b/tests/serving/cross_domain_groups.cpp
@@ -1,4 +1,4 @@
-// Groups over several fabric domains, and how their engines come together again.
+// Groups that span fabric domains, and their consolidation within one domain.
 #include "support/planner_bench.hpp"
 
 #include <criterion/criterion.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Model "m" with groups of four; no traffic is measured.
+/// Model "m" with groups of four; the demand is unknown.
 PlannerBench fourMembers()
 {
     PlannerBench bench;
@@ -19,7 +19,7 @@
     return bench;
 }
 
-/// An open group of model "m" whose members lie in \p domains, one after the other.
+/// Adds a group of model "m" whose members are in \p domains, in rank order.
 void addFar(PlannerBench &bench, std::uint64_t epoch, const std::vector<std::string> &domains,
             MemberState state = MemberState::Open)
 {
@@ -34,19 +34,19 @@
 
 } // namespace
 
-Test(cross_domain_groups, several_that_make_a_group_in_one_domain_make_way_together)
+Test(cross_domain_groups, groups_that_together_fill_one_domain_are_closed_together)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "b", "c"});
     addFar(bench, 2, {"a", "a", "d", "e"});
-    // The only groups of the model go on.
+    // The only groups of a model are not closed.
     cr_assert(bench.plan().empty());
     addFar(bench, 3, {"x", "x", "x", "x"});
     addFar(bench, 4, {"y", "y", "y", "y"});
     cr_assert_eq(targetsOf<CloseOrder>(bench.plan()), (Names{"m.1-0", "m.2-0"}));
 }
 
-Test(cross_domain_groups, spares_of_a_domain_that_is_gathered_wait_for_the_rest)
+Test(cross_domain_groups, spares_wait_while_their_domain_is_consolidated)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "b", "c"}, MemberState::Closing);
@@ -57,7 +57,7 @@
     cr_assert(targetsOf<JoinOrder>(bench.plan()).empty());
 }
 
-Test(cross_domain_groups, few_make_way_at_once_so_that_the_others_serve)
+Test(cross_domain_groups, number_of_groups_closed_at_once_is_limited)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "c", "d"});
@@ -65,11 +65,11 @@
     addFar(bench, 3, {"e", "e", "f", "g"});
     addFar(bench, 4, {"e", "e", "f", "g"});
     addFar(bench, 5, {"x", "x", "x", "x"});
-    // Capacity 2.6; two groups over domains take 0.8 of it while they finish.
+    // The capacity is 2.6 groups; two closing cross-domain groups account for 0.8 of it.
     cr_assert_eq(targetsOf<CloseOrder>(bench.plan()).size(), 2);
 }
 
-Test(cross_domain_groups, groups_that_make_none_in_a_domain_go_on)
+Test(cross_domain_groups, groups_that_cannot_fill_a_domain_are_not_closed)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "b", "c"});
@@ -77,14 +77,14 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(cross_domain_groups, engines_that_were_freed_just_now_wait_for_others_of_their_domain)
+Test(cross_domain_groups, recently_freed_engines_wait_for_others_of_their_domain)
 {
     auto bench = fourMembers();
     for (const auto *engine : {"a", "b", "c", "d"})
         bench.engines_.push_back(loadedEngine(engine, engine, "m"));
     bench.input_.recentlyFreed_ = {VmId("c")};
     cr_assert(targetsOf<JoinOrder>(bench.plan()).empty());
-    // A whole group in one domain is formed at once.
+    // A complete group within one domain is formed immediately.
     for (const auto *engine : {"e", "f", "g"})
         bench.engines_.push_back(loadedEngine(engine, "c", "m"));
     cr_assert_eq(targetsOf<JoinOrder>(bench.plan()), (Names{"c", "e", "f", "g"}));
@@ -93,7 +93,7 @@
     cr_assert_eq(targetsOf<JoinOrder>(bench.plan()).size(), 4);
 }
 
-Test(group_heads, members_join_at_once_when_their_head_has_left)
+Test(group_heads, members_join_another_group_directly_after_their_head_has_left)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "a", "a"}, MemberState::Broken);
@@ -105,7 +105,7 @@
     cr_assert_eq(targetsOf<JoinOrder>(plan), (Names{"m.1-0", "m.1-1", "m.1-2", "m.1-3"}));
 }
 
-Test(group_heads, members_of_a_head_that_is_not_listed_leave_first)
+Test(group_heads, members_of_an_unlisted_head_leave_before_joining_another_group)
 {
     auto bench = fourMembers();
     addFar(bench, 1, {"a", "a", "a", "a"});
--- a/tests/serving/model_mix.cpp
+++ b/tests/serving/model_mix.cpp
@@ -1,4 +1,4 @@
-// Which model's engines should serve another one.
+// Decisions of the model mix policies.
 #include <cardamombay/serving/model_mix.hpp>
 
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A model in groups of eight and one in groups of two.
+/// A model with groups of eight engines and one with groups of two.
 struct TwoModels
 {
     TwoModels()
@@ -33,8 +33,8 @@
 
 } // namespace
 
-/// The shifted work: equal shares of engines, and seven times as much work for the small groups.
-Test(model_mix, groups_of_a_model_served_better_go_to_one_served_worse)
+/// Shifted demand: equal shares of engines, but seven times as much work for the small groups.
+Test(model_mix, model_with_spare_capacity_gives_groups_to_model_that_lacks_capacity)
 {
     const TwoModels models;
     const DemandMix mix;
@@ -45,7 +45,7 @@
     cr_assert_eq(next->groupsMade(), 4);
 }
 
-Test(model_mix, conversions_end_once_the_worst_served_gains_nothing_or_has_enough)
+Test(model_mix, conversions_end_once_coverage_is_sufficient_or_cannot_improve)
 {
     const TwoModels models;
     const DemandMix mix;
@@ -61,38 +61,39 @@
     cr_assert_geq(small / 28.3, 1.3);
 }
 
-Test(model_mix, model_with_enough_gets_no_more)
+Test(model_mix, model_with_sufficient_coverage_receives_no_groups)
 {
     const TwoModels models;
     cr_assert_not(DemandMix().next(models.loads(10, 1, 20, 10)).has_value());
 }
 
-Test(model_mix, last_groups_of_a_model_stay)
+Test(model_mix, last_groups_of_a_model_are_kept)
 {
     const TwoModels models;
     cr_assert_not(DemandMix().next(models.loads(2, 0, 10, 30)).has_value());
 }
 
-/// A fabric domain of the small model goes dark for seconds; the large one has enough and no more.
-Test(model_mix, model_without_more_than_enough_gives_nothing_while_another_one_is_short)
+/// Guards against converting groups while a fabric domain of the small model is unreachable for
+/// seconds; the large model has no surplus.
+Test(model_mix, model_without_surplus_gives_no_groups_to_one_that_lacks_capacity)
 {
     const TwoModels models;
     cr_assert_not(DemandMix().next(models.loads(7, 3.9, 10, 28)).has_value());
 }
 
-Test(model_mix, model_that_is_served_as_badly_gives_nothing)
+Test(model_mix, model_with_equally_low_coverage_gives_no_groups)
 {
     const TwoModels models;
     cr_assert_not(DemandMix().next(models.loads(5, 5, 30, 30)).has_value());
 }
 
-Test(model_mix, small_groups_are_not_converted_into_large_ones_here)
+Test(model_mix, small_groups_are_not_converted_into_large_ones)
 {
     const TwoModels models;
     cr_assert_not(DemandMix().next(models.loads(3, 6, 60, 10)).has_value());
 }
 
-Test(model_mix, group_whose_engines_make_no_whole_groups_of_the_other_model_stays)
+Test(model_mix, group_is_not_converted_if_engines_would_be_left_over)
 {
     TwoModels models;
     models.large_.members_ = 4;
@@ -100,8 +101,8 @@
     cr_assert_not(DemandMix().next(models.loads(10, 1, 5, 10)).has_value());
 }
 
-/// A demand that swings by a fifth does not send groups to and fro.
-Test(model_mix, swing_of_the_demand_converts_no_group_back_and_forth)
+/// Guards against converting groups back and forth when the demand fluctuates by 20 %.
+Test(model_mix, fluctuating_demand_does_not_convert_groups_back_and_forth)
 {
     const TwoModels models;
     const DemandMix mix;
@@ -118,7 +119,7 @@
     cr_assert_leq(small, 51);
 }
 
-Test(model_mix, kept_mix_changes_nothing)
+Test(model_mix, fixed_mix_converts_nothing)
 {
     const TwoModels models;
     cr_assert_not(FixedMix().next(models.loads(10, 0.1, 2, 30)).has_value());
--- a/tests/serving/planner_invariants.cpp
+++ b/tests/serving/planner_invariants.cpp
@@ -1,5 +1,5 @@
-// The planner on deployments that differ in everything: engines are lost, come back empty and are
-// added in random order, and the same promises hold at each step.
+// Checks the planner's invariants on a range of deployments while engines are lost and replaced by
+// empty ones at random.
 #include "support/planner_bench.hpp"
 
 #include <cardamombay/core/random.hpp>
@@ -15,11 +15,11 @@
 
 namespace {
 
-/// Sizes of fabric domains and groups, and what callers ask for.
+/// Sizes of fabric domains and groups, and the demand in groups.
 struct Deployment
 {
     int domains_;
-    int engines_; ///< Of each domain.
+    int engines_; ///< Per domain.
     std::uint32_t largeGroup_;
     std::uint32_t smallGroup_;
     double largeDemand_;
@@ -33,7 +33,7 @@
     {4, 12, 6, 5, 2, 2},
 };
 
-/// Engines that carry out each order at once.
+/// Engines that execute each order immediately.
 class Fleet
 {
 public:
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Plans and carries out until nothing is due, or for \p most steps.
+    /// Plans and executes orders until none is due, for at most \p most steps.
     void settle(int maxSteps)
     {
         for (int step = 0; step < maxSteps; ++step) {
@@ -107,7 +107,7 @@
         return nullptr;
     }
 
-    /// What must hold of each plan, whatever the deployment.
+    /// Checks the invariants of a plan.
     void check(const Plan &plan)
     {
         std::map<GroupName, std::set<VmId>> joins;
@@ -117,11 +117,11 @@
             cr_assert_not_null(engine);
             cr_assert(ordered.insert(order.engine_).second, "two orders to one engine");
             if (const auto *join = std::get_if<JoinOrder>(&order.order_)) {
-                // It may still list a group that its head has left.
+                // The engine may still be listed in a group whose head has left.
                 cr_assert(
                     !engine->membership_
                         || bench_.input_.releasedGroups_.contains(engine->membership_->group_),
-                    "an engine of a group is joined to another");
+                    "an engine of a group is ordered into another");
                 if (engine->membership_)
                     cr_assert_not(hasHead(engine->membership_->group_));
                 joins[join->group_].insert(order.engine_);
@@ -189,10 +189,10 @@
 
 } // namespace
 
-Test(planner_invariants, orders_keep_their_promises_whatever_is_lost)
+Test(planner_invariants, orders_satisfy_invariants_while_engines_are_lost)
 {
     constexpr int losses = 40;
-    constexpr int steps = 12; ///< Enough for a group that makes way, joins and is opened.
+    constexpr int steps = 12; ///< Enough to close a group, form another one and open it.
     for (const auto &deployment : deployments) {
         for (std::uint64_t seed = 1; seed <= 25; ++seed) {
             Fleet fleet(deployment, seed);
@@ -216,7 +216,7 @@
     }
 }
 
-Test(planner_invariants, both_models_still_serve_after_a_quarter_of_the_engines_is_replaced)
+Test(planner_invariants, both_models_serve_after_a_quarter_of_the_engines_was_lost)
 {
     for (const auto &deployment : deployments) {
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
--- a/tests/serving/replica_converting.cpp
+++ b/tests/serving/replica_converting.cpp
@@ -1,4 +1,4 @@
-// Groups of one model whose engines go on with another one that callers ask more of.
+// Conversion of groups into groups of a model with more demand.
 #include "support/planner_bench.hpp"
 
 #include <criterion/criterion.h>
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Open groups of "m" in groups of four, more than enough, and of "n" in groups of two that have
-/// too much to do.
+/// Open groups of four for model "m", which has surplus capacity, and open groups of two for model
+/// "n", which is overloaded.
 struct ShiftedBench : PlannerBench
 {
     ShiftedBench()
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The engines of group "m.<index>" have \p model on their hosts.
+    /// Stages \p model on the hosts of the engines of group "m.<index>".
     void stage(int index, const std::string &model)
     {
         const auto prefix = "m." + std::to_string(index) + "-";
@@ -67,14 +67,14 @@
 
 } // namespace
 
-Test(replica_converting, group_whose_engines_have_the_other_model_makes_way)
+Test(replica_converting, group_is_closed_if_all_its_engines_have_the_target_model)
 {
     ShiftedBench bench;
     bench.stage(1, "n");
     cr_assert_eq(targetsOf<CloseOrder>(bench.plan()), Names{"m.1-0"});
 }
 
-Test(replica_converting, group_serves_on_while_its_engines_load_the_other_model)
+Test(replica_converting, group_continues_to_serve_while_its_engines_load_the_target_model)
 {
     ShiftedBench bench;
     bench.profile_.loadsAtOnce_ = 20;
@@ -83,15 +83,16 @@
     cr_assert_eq(loadsOf(plan, "n"), 4);
 }
 
-Test(replica_converting, half_of_the_loads_at_once_stay_for_engines_without_any_model)
+Test(replica_converting, half_of_the_concurrent_loads_are_kept_for_engines_without_a_model)
 {
     ShiftedBench bench;
     bench.profile_.loadsAtOnce_ = 4;
     cr_assert_eq(loadsOf(bench.plan(), "n"), 2);
 }
 
-/// Chosen anew with each plan, the one that has begun goes on and no second one is taken.
-Test(replica_converting, group_that_makes_way_stays_the_only_one)
+/// The selection is repeated with each plan: the group that is already closing must be selected
+/// again, and no second one.
+Test(replica_converting, closing_group_remains_the_only_one_selected)
 {
     ShiftedBench bench;
     bench.stage(0, "n");
@@ -100,7 +101,7 @@
     cr_assert(targetsOf<CloseOrder>(bench.plan()).empty());
 }
 
-Test(replica_converting, group_that_has_finished_its_work_is_dissolved_and_not_opened_again)
+Test(replica_converting, drained_group_is_dissolved_and_not_reopened)
 {
     ShiftedBench bench;
     bench.stage(1, "n");
@@ -110,7 +111,7 @@
     cr_assert(targetsOf<OpenOrder>(plan).empty());
 }
 
-Test(replica_converting, engines_that_were_freed_form_groups_of_the_other_model)
+Test(replica_converting, freed_engines_form_groups_of_the_target_model)
 {
     ShiftedBench bench;
     bench.stage(1, "n");
@@ -129,7 +130,7 @@
     cr_assert_eq(groups.size(), 2);
 }
 
-Test(replica_converting, nothing_is_converted_while_the_demand_is_not_known)
+Test(replica_converting, nothing_is_converted_while_the_demand_is_unknown)
 {
     ShiftedBench bench;
     bench.stage(1, "n");
@@ -137,7 +138,7 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_converting, without_a_mix_engines_keep_their_models)
+Test(replica_converting, engines_keep_their_models_without_a_model_mix)
 {
     ShiftedBench bench;
     bench.stage(1, "n");
@@ -145,8 +146,9 @@
     cr_assert(bench.plan().empty());
 }
 
-/// A host keeps one model over a restart: engines of a domain that was dark for seven seconds came
-/// back with the other one only, and the large model stayed short.
+/// A host keeps only one model across a restart. Guards against staging the other model before the
+/// demand is known: engines of a domain that was unreachable for 7 s returned with only that model,
+/// and the large model remained short of capacity.
 Test(replica_converting, hosts_keep_the_model_of_their_group_until_the_demand_is_known)
 {
     ShiftedBench bench;
--- a/tests/serving/replica_manager.cpp
+++ b/tests/serving/replica_manager.cpp
@@ -1,4 +1,4 @@
-// What the manager sends, and when it takes an order for lost.
+// Orders and queries that the manager sends, and when it considers an order lost.
 #include "support/fake_store.hpp"
 #include "support/gateway_fixture.hpp"
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Takes orders and leaves them unanswered.
+/// Records orders and queries without answering them.
 class SilentOrders final : public ReplicaOrders
 {
 public:
@@ -34,7 +34,7 @@
     std::vector<std::pair<Endpoint, Callback<Endpoint>>> stateQueries_;
 };
 
-/// A spare engine with the weights in its memory.
+/// A spare engine with model "m" in memory.
 Endpoint loadedIn(const std::string &id, const std::string &domain)
 {
     auto result = spareEngine(id, domain, "m");
@@ -80,7 +80,7 @@
 
 } // namespace
 
-Test(replica_manager, order_counts_as_lost_only_by_a_view_that_is_younger_than_its_effect)
+Test(replica_manager, order_counts_as_lost_only_if_a_later_list_lacks_its_effect)
 {
     Bench bench;
     const auto sent = bench.clock_.now();
@@ -93,7 +93,7 @@
     cr_assert_eq(bench.orders_.sent_.size(), 4);
 }
 
-Test(replica_manager, entry_that_only_tells_a_shorter_cold_time_is_no_effect_of_an_order)
+Test(replica_manager, shorter_cold_time_in_an_entry_is_not_an_effect_of_an_order)
 {
     Bench bench;
     auto engine = *bench.book_.find(VmId("a"));
@@ -110,14 +110,14 @@
     cr_assert_eq(bench.book_.revision(), revision);
 }
 
-Test(replica_manager, nothing_is_planned_by_an_old_view)
+Test(replica_manager, stale_list_of_engines_is_not_planned_on)
 {
     Bench bench;
     bench.manager_.tick(bench.routes_, bench.clock_.now() - seconds(3));
     cr_assert(bench.orders_.sent_.empty());
 }
 
-Test(replica_manager, nothing_is_formed_in_an_evacuated_zone_until_it_is_back)
+Test(replica_manager, no_group_forms_in_an_evacuated_zone_until_it_returns)
 {
     Bench bench;
     for (const auto *id : {"a", "b"}) {
@@ -149,7 +149,7 @@
     cr_assert_not(bench.orders_.sent_.empty());
 }
 
-Test(replica_manager, engine_that_loads_is_not_told_again_though_another_model_is_on_its_host)
+Test(replica_manager, loading_engine_gets_no_second_order_while_another_model_is_on_its_host)
 {
     Bench bench;
     auto profile = gatewayConfiguration();
@@ -158,9 +158,9 @@
     for (const auto *id : {"a", "b"})
         bench.book_.put(engineIn(id, "d", GroupName("m.1"), 1, id[0] == 'a' ? 0 : 1,
                                  id[0] == 'a' ? MemberState::Open : MemberState::Ready));
-    auto lender = engineIn("n", "d", GroupName("n.2"), 2, 0, MemberState::Open);
-    lender.staged_ = {ModelName("n")};
-    bench.book_.put(lender);
+    auto smallGroup = engineIn("n", "d", GroupName("n.2"), 2, 0, MemberState::Open);
+    smallGroup.staged_ = {ModelName("n")};
+    bench.book_.put(smallGroup);
     for (int i = 0; i < 10; ++i) {
         bench.manager_.tick(routes, bench.clock_.now());
         bench.clock_.advance(seconds(1));
@@ -169,7 +169,7 @@
     cr_assert(std::holds_alternative<StageOrder>(bench.orders_.sent_.front().second));
 }
 
-Test(replica_manager, engine_that_starts_again_is_told_anew_what_its_earlier_life_was_told)
+Test(replica_manager, restarted_engine_is_sent_its_orders_again)
 {
     Bench bench;
     bench.manager_.tick(bench.routes_, bench.clock_.now());
@@ -185,7 +185,7 @@
     cr_assert_eq(engine, VmId("a"));
 }
 
-Test(replica_manager, engine_that_was_left_out_is_asked_again_once_it_is_in_no_group)
+Test(replica_manager, unresponsive_engine_is_queried_again_after_it_has_left_its_group)
 {
     Bench bench;
     bench.book_.put(engineIn("a", "d", GroupName("m.1"), 1, 0, MemberState::Open));
@@ -209,8 +209,8 @@
     cr_assert_eq(bench.orders_.sent_.size(), 2);
 }
 
-/// What is remembered of the engines of one service must not be lost with those of another.
-Test(replica_manager, survivors_serve_over_domains_also_beside_a_second_service_of_engines)
+/// Guards against planning one service discarding the manager's state of another service's engines.
+Test(replica_manager, survivors_form_cross_domain_group_beside_a_second_service)
 {
     Bench bench;
     auto configuration = gatewayConfiguration();
--- a/tests/serving/replica_planner.cpp
+++ b/tests/serving/replica_planner.cpp
@@ -1,4 +1,4 @@
-// Which orders the planner gives for what the engines list.
+// Orders that the planner gives for a list of engines.
 #include "support/planner_bench.hpp"
 
 #include <criterion/criterion.h>
@@ -7,7 +7,7 @@
 using namespace cardamombay::serving;
 using namespace cardamombay::support;
 
-Test(replica_planner, whole_ready_group_is_opened_and_an_open_one_left_alone)
+Test(replica_planner, complete_ready_group_is_opened_and_open_group_is_left_unchanged)
 {
     PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Ready);
@@ -25,7 +25,7 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_planner, group_whose_member_is_no_longer_listed_finishes_its_work)
+Test(replica_planner, group_with_unlisted_member_is_closed_and_completes_its_requests)
 {
     PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
@@ -37,7 +37,7 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_planner, all_that_is_left_of_a_group_leaves_when_it_stands_still)
+Test(replica_planner, rest_of_a_group_leaves_when_it_has_stalled)
 {
     for (const auto state : {MemberState::Open, MemberState::Closing}) {
         PlannerBench bench;
@@ -48,7 +48,7 @@
     }
 }
 
-Test(replica_planner, member_that_does_not_answer_counts_as_lost)
+Test(replica_planner, unresponsive_member_counts_as_lost)
 {
     PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
@@ -67,7 +67,7 @@
     cr_assert(targetsOf<JoinOrder>(plan).empty());
 }
 
-Test(replica_planner, engine_that_still_lists_a_group_is_never_joined_to_another)
+Test(replica_planner, engine_still_listed_in_a_group_is_never_ordered_into_another)
 {
     for (const auto state : {MemberState::Joining, MemberState::Ready, MemberState::Open,
                              MemberState::Closing, MemberState::Broken}) {
@@ -79,7 +79,7 @@
     }
 }
 
-Test(replica_planner, leaving_member_closes_its_group_without_a_cut)
+Test(replica_planner, draining_member_closes_its_group_without_aborting_requests)
 {
     PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open);
@@ -101,7 +101,7 @@
     cr_assert_eq(join.members_.size(), 2);
 }
 
-Test(replica_planner, leaving_and_pending_engines_are_not_chosen)
+Test(replica_planner, draining_and_pending_engines_are_not_selected)
 {
     PlannerBench bench;
     bench.engines_
@@ -111,14 +111,14 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_planner, spares_of_several_domains_serve_together_if_no_domain_has_enough)
+Test(replica_planner, spares_form_cross_domain_group_if_no_domain_has_enough)
 {
     PlannerBench bench;
     bench.engines_ = {spareEngine("a", "d", "m"), spareEngine("b", "e", "m")};
     cr_assert_eq(targetsOf<JoinOrder>(bench.plan()), (Names{"a", "b"}));
 }
 
-Test(replica_planner, one_group_over_domains_at_a_time_makes_way)
+Test(replica_planner, cross_domain_groups_are_closed_one_at_a_time)
 {
     PlannerBench bench;
     bench.addGroup("m.1", "d", MemberState::Open, "e");
@@ -129,7 +129,7 @@
     cr_assert(targetsOf<CloseOrder>(bench.plan()).empty());
 }
 
-Test(replica_planner, first_start_gives_the_domains_to_the_models_in_turn)
+Test(replica_planner, first_start_assigns_domains_to_models_in_turn)
 {
     PlannerBench bench;
     bench.input_.isFirstLoad_ = true;
@@ -144,7 +144,7 @@
     cr_assert_eq(joins[ModelName("n")], 2);
 }
 
-Test(replica_planner, first_start_gives_more_domains_to_the_model_with_larger_groups)
+Test(replica_planner, first_start_assigns_more_domains_to_the_model_with_larger_groups)
 {
     PlannerBench bench;
     bench.input_.isFirstLoad_ = true;
@@ -169,7 +169,7 @@
     cr_assert_eq(groups[ModelName("n")].size(), 6);
 }
 
-Test(replica_planner, no_more_loads_begin_than_the_weight_store_serves_at_once)
+Test(replica_planner, number_of_loads_is_limited_by_the_weight_store)
 {
     PlannerBench bench;
     for (const auto *engine : {"a", "b", "c", "d"})
@@ -179,7 +179,7 @@
     cr_assert_eq(targetsOf<StageOrder>(bench.plan()).size(), 2);
 }
 
-Test(replica_planner, spare_engine_loads_the_staged_model_alone_and_is_spare_again)
+Test(replica_planner, spare_engine_loads_the_staged_model_in_a_warm_up_group_and_is_free_again)
 {
     PlannerBench bench;
     bench.engines_ = {spareEngine("s", "d", "m")};
@@ -199,7 +199,7 @@
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_planner, warm_up_is_never_opened_whatever_the_size_of_groups)
+Test(replica_planner, warm_up_group_is_never_opened_even_if_groups_have_one_member)
 {
     PlannerBench bench;
     bench.profile_.models_[0].members_ = 1;
@@ -221,9 +221,9 @@
         cr_assert_eq(members, isWarmUp(group) ? 1 : 2);
 }
 
-Test(replica_planner, group_whose_members_are_still_being_listed_is_not_given_up)
+Test(replica_planner, group_whose_members_are_still_being_listed_is_not_dissolved)
 {
-    // The first of the two to be listed may be the head or the other one.
+    // Either the head or the other member may be listed first.
     for (const std::uint32_t rank : {0U, 1U}) {
         PlannerBench bench;
         const GroupName group("m.1");
--- a/tests/serving/replica_reclaiming.cpp
+++ b/tests/serving/replica_reclaiming.cpp
@@ -1,5 +1,5 @@
-// Fabric domains that serve models of several sizes: what is formed there, and how the engines of
-// smaller groups repair the larger ones.
+// Fabric domains with groups of several sizes: which groups form there, and how engines of smaller
+// groups are reclaimed to repair larger ones.
 #include "support/planner_bench.hpp"
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Model "m" in groups of four and model "n" in groups of two.
+/// Model "m" with groups of four and model "n" with groups of two.
 struct MixedBench : PlannerBench
 {
     MixedBench()
@@ -23,7 +23,7 @@
         input_.demand_ = {{ModelName("m"), 1}, {ModelName("n"), 1}};
     }
 
-    /// An open group of "n" in domain "d" whose engines have "m" on their hosts.
+    /// Adds a group of "n" in domain "d" whose engines have "m" on their hosts.
     void addReclaimableGroup(const std::string &name, MemberState head = MemberState::Open)
     {
         addGroup(name, "d", head);
@@ -50,7 +50,7 @@
 
 } // namespace
 
-Test(replica_reclaiming, domains_that_groups_of_both_sizes_fill_serve_both_models)
+Test(replica_reclaiming, domains_filled_by_groups_of_both_sizes_serve_both_models)
 {
     MixedBench bench;
     bench.input_.isFirstLoad_ = true;
@@ -67,7 +67,7 @@
         cr_assert_eq(members, 4);
 }
 
-Test(replica_reclaiming, small_groups_wait_until_a_domain_has_its_large_one)
+Test(replica_reclaiming, small_groups_form_only_after_the_large_group_of_their_domain)
 {
     MixedBench bench;
     bench.input_.isFirstLoad_ = true;
@@ -92,14 +92,14 @@
     }
 }
 
-Test(replica_reclaiming, domain_of_one_model_keeps_no_other_on_its_hosts)
+Test(replica_reclaiming, domain_with_one_model_stages_no_other_model)
 {
     MixedBench bench;
     bench.addGroup("n.1", "d", MemberState::Open);
     cr_assert(bench.plan().empty());
 }
 
-Test(replica_reclaiming, small_group_makes_way_for_the_engine_that_a_large_one_lacks)
+Test(replica_reclaiming, small_group_is_closed_to_complete_a_large_one)
 {
     MixedBench bench;
     bench.addSurvivors(3);
@@ -110,11 +110,11 @@
     cr_assert_not(std::get<CloseOrder>(plan.front().order_).abortsRequests_);
     cr_assert_eq(plan.size(), 1);
 
-    // While it finishes its work nothing else is asked for.
+    // No further order is given while the group completes its requests.
     bench.engines_[3].membership_->state_ = MemberState::Closing;
     cr_assert(bench.plan().empty());
 
-    // Then its engines leave, in place of serving again.
+    // Then its engines leave instead of serving again.
     bench.engines_[3].membership_->state_ = MemberState::Ready;
     plan = bench.plan();
     cr_assert_eq(targetsOf<LeaveOrder>(plan), (Names{"n.1-0"}));
@@ -130,7 +130,7 @@
     cr_assert_not(joins.contains(ModelName("n")));
 }
 
-Test(replica_reclaiming, nothing_is_lent_by_a_model_that_would_then_be_served_worse)
+Test(replica_reclaiming, no_group_is_reclaimed_if_its_model_would_then_be_served_worse)
 {
     MixedBench bench;
     bench.addSurvivors(3);
@@ -146,7 +146,7 @@
     cr_assert(targetsOf<CloseOrder>(bench.plan()).empty());
 }
 
-Test(replica_reclaiming, survivors_that_wait_for_lent_engines_form_no_group_over_domains)
+Test(replica_reclaiming, survivors_waiting_for_reclaimed_engines_form_no_cross_domain_group)
 {
     MixedBench bench;
     bench.addSurvivors(3);
@@ -156,7 +156,7 @@
     cr_assert(targetsOf<JoinOrder>(bench.plan()).empty());
 }
 
-Test(replica_reclaiming, empty_engine_loads_the_model_whose_group_it_completes)
+Test(replica_reclaiming, engine_without_a_model_loads_the_model_whose_group_it_completes)
 {
     MixedBench bench;
     bench.addSurvivors(1);
@@ -169,7 +169,7 @@
     }
 }
 
-Test(replica_reclaiming, engine_that_has_a_model_in_its_memory_is_not_warmed_up_for_another)
+Test(replica_reclaiming, engine_with_a_model_in_memory_is_not_warmed_up_for_another)
 {
     MixedBench bench;
     auto engine = loadedEngine("n-left", "d", "n");
--- a/tests/support/planner_bench.hpp
+++ b/tests/support/planner_bench.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Engines as they are listed, and the orders that the planner gives for them.
+/// \brief Test bench for the planner: a list of engines and the orders planned for it.
 #pragma once
 
 #include "support/gateway_fixture.hpp"
@@ -13,7 +13,7 @@
 
 namespace cardamombay::support {
 
-/// \brief A spare engine that has the model in its memory.
+/// \brief A spare engine with the model in memory.
 [[nodiscard]] inline serving::Endpoint
 loadedEngine(const std::string &id, const std::string &domain, const std::string &model)
 {
@@ -22,7 +22,7 @@
     return result;
 }
 
-/// \brief Engines and what the planner knows of them.
+/// \brief Listed engines and the other input of the planner.
 struct PlannerBench
 {
     serving::Plan plan()
@@ -38,7 +38,7 @@
         return planReplicas(input_);
     }
 
-    /// \brief A group of two engines.
+    /// \brief Adds a group of two engines.
     void addGroup(const std::string &name, const std::string &domain, serving::MemberState head,
                   const std::string &otherDomain = {})
     {
@@ -55,7 +55,7 @@
     std::uint64_t epoch_ = 10;
 };
 
-/// \brief Engines that get an order of the kind, sorted.
+/// \brief Ids of the engines that receive an order of type \p Kind, sorted.
 template<typename Kind>
 [[nodiscard]] std::vector<std::string> targetsOf(const serving::Plan &plan)
 {
--- a/tests/support/shifted_demand_simulation.hpp
+++ b/tests/support/shifted_demand_simulation.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief The planner with engines that take their time, and callers who need a place at a group
-/// while the mix of their requests moves away from operators' shares.
+/// \brief Simulates the planner with engines that execute orders with realistic delays, and callers
+/// who need a free slot in a group while the request mix departs from the configured shares.
 #pragma once
 
 #include "support/planner_bench.hpp"
@@ -22,38 +22,38 @@
 inline constexpr std::uint32_t smallGroup = 2;
 inline constexpr std::size_t slotsPerGroup = 20;
 
-/// Seconds that the steps of engines take.
+/// Durations in the simulation, in seconds.
 inline constexpr double loadSeconds = 12;
-inline constexpr double stagedJoinSeconds = 1.1; ///< To join with weights from the host.
+inline constexpr double stagedJoinSeconds = 1.1; ///< To join with weights on the host.
 inline constexpr double loadedJoinSeconds = 0.2; ///< To join with weights in memory.
 inline constexpr double openSeconds = 0.3;
-inline constexpr double drainSeconds = 2; ///< The rest of the answers of a group that makes way.
+inline constexpr double drainSeconds = 2; ///< To complete the answers of a closing group.
 inline constexpr double answerSeconds = 1.8;
 inline constexpr double lossIntervalSeconds = 1.5;
 inline constexpr double replacementDelaySeconds = 5;
 
-/// Requests a second for the small and the large model.
+/// Requests per second for the small and the large model.
 struct RequestMix
 {
     double small_;
     double large_;
 };
 
-/// The mix that the shares were made for, half of the way, and the mix that callers ask for now, at
-/// the crest of its hours, which are a fifth above the mean.
+/// The mix that the configured shares were made for, a mix halfway to the current one, and the
+/// current, shifted mix at its peak hours, which are 20% above the mean.
 inline constexpr RequestMix originalMix{200, 90};
 inline constexpr RequestMix intermediateMix{286, 65};
 inline constexpr RequestMix shiftedMix{373, 43};
 
-/// Shares of the callers who found no free place at once.
+/// Shares of the callers who found no free slot immediately.
 struct WaitingShares
 {
     double small_ = 0;
     double large_ = 0;
-    int conversions_ = 0; ///< Groups that were told to make way.
+    int conversions_ = 0; ///< Groups that were told to close.
 };
 
-/// 162 engines that carry out the planner's orders in their own time, and lose one every 1.5 s.
+/// 162 engines that execute the planner's orders with delays; one engine is lost every 1.5 s.
 class ShiftedDemandSimulation
 {
 public:
@@ -76,7 +76,7 @@
         started_ = true;
     }
 
-    /// Callers come by \p sheet for that long; who finds no place is counted.
+    /// Simulates callers with \p requestMix for \p seconds and counts those who find no free slot.
     WaitingShares serve(double seconds, RequestMix requestMix)
     {
         std::map<ModelName, Count> counts;
@@ -116,7 +116,7 @@
         return found == bench_.engines_.end() ? nullptr : &*found;
     }
 
-    /// As entry VMs do: smoothed over four seconds, in groups' worth.
+    /// Updates the measured demand as entry VMs do: in groups, smoothed over four seconds.
     void measure(const RequestMix &requestMix)
     {
         const auto addSample = [&](const char *model, double perSecond) {
@@ -143,7 +143,7 @@
             accept(order);
     }
 
-    /// A group that has lost an engine ends, and its survivors are free.
+    /// Removes a random engine; its group ends, and the survivors become free.
     void removeRandomEngine()
     {
         const auto index = random_.below(bench_.engines_.size());
@@ -189,7 +189,7 @@
     void accept(const PlannedOrder &planned)
     {
         auto &engine = *find(planned.engine_);
-        // Weights come onto the host beside all that the engine does.
+        // Weights are staged onto the host while the engine continues its other work.
         if (const auto *stage = std::get_if<StageOrder>(&planned.order_)) {
             bench_.input_.loading_[engine.id_] = stage->model_;
             loads_[engine.id_] = {now_ + timeOf(engine, planned.order_), planned};
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Entry VMs choose by news that are a digest old, which leaves the better of two groups drawn
-    /// at random; callers who find it full wait.
+    /// Entry VMs route by load information that is one digest old. This is modelled as choosing the
+    /// better of two groups drawn at random; callers who find it full wait.
     void sendRequests(const ModelName &model, double perSecond, Count &count)
     {
         const auto groups = openGroups(model);
@@ -295,7 +295,8 @@
     std::map<GroupName, std::vector<double>> busyUntil_;
 };
 
-/// Callers come by \p before for \p settling seconds, and are counted while they come by \p sheet.
+/// Mean results over several seeds. If \p settling is positive, callers first arrive with the mix
+/// \p before and then for \p settling seconds with \p requestMix before they are counted.
 inline WaitingShares meanWaitingShares(const ModelMix &mix, RequestMix requestMix,
                                        RequestMix before = {}, double settling = 0)
 {
@@ -318,13 +319,14 @@
 
 inline void print(const char *requestMix, const WaitingShares &kept, const WaitingShares &mixed)
 {
-    std::printf("%s: callers without a place, small model %.4f and %.4f, large model %.4f and "
-                "%.4f; groups that made way %d and %d (kept and by demand)\n",
+    std::printf("%s: callers without a free slot, small model %.4f and %.4f, large model %.4f and "
+                "%.4f; groups closed %d and %d (fixed mix and demand mix)\n",
                 requestMix, kept.small_, mixed.small_, kept.large_, mixed.large_, kept.conversions_,
                 mixed.conversions_);
 }
 
-/// Share of the callers that may find no place at once: those that wait are late.
+/// Maximum share of callers that may find no free slot immediately, since callers that wait are
+/// late.
 inline constexpr double maxWaitingShare = 0.01;
 
 } // namespace cardamombay::support
