--- a/include/cardamombay/serving/replica_manager.hpp
+++ b/include/cardamombay/serving/replica_manager.hpp
@@ -43,10 +43,10 @@
     void tick(const RouteTable &routes, TimePoint listedAsOf);
 
     /// \brief Records that requests have arrived; from now on loads take their full time.
-    void setTrafficSeen() { isFirstLoad_ = false; }
+    void setTrafficSeen() { isFirstStart_ = false; }
 
     /// \brief Records the first start of the whole system; loads are fast until traffic arrives.
-    void setFirstStart() { isFirstLoad_ = true; }
+    void setFirstStart() { isFirstStart_ = true; }
 
     /// \brief Sets the measured demand by model, in groups.
     void setDemand(std::map<ModelName, double> demand) { demand_ = std::move(demand); }
@@ -76,7 +76,7 @@
     };
 
     [[nodiscard]] std::vector<const Endpoint *>
-    plannable(const std::vector<const Endpoint *> &engines) const;
+    plannableEngines(const std::vector<const Endpoint *> &engines) const;
     void updateFreeSince(ServiceState &serviceState,
                          const std::vector<const Endpoint *> &engines) const;
     void queryUngroupedEngines(ServiceState &serviceState,
@@ -98,29 +98,29 @@
     void expire(TimePoint now, TimePoint listedAsOf);
 
     ManagerParts parts_;
-    bool isFirstLoad_ = false;
+    bool isFirstStart_ = false;
     std::map<ModelName, double> demand_;
     /// An order that has not taken effect yet.
-    struct Pending
+    struct PendingOrder
     {
         TimePoint until_{};
         Endpoint before_; ///< The engine's entry when the order was sent.
         GroupName group_; ///< Group that a join order names; empty for other orders.
     };
 
-    std::map<VmId, Pending> pending_;
+    std::map<VmId, PendingOrder> pending_;
     /// A load from the weight store in progress.
     struct Load
     {
         TimePoint until_{}; ///< Latest time at which the load ends.
         ModelName model_;
-        std::uint64_t bornAt_ = 0; ///< Start of the engine; see Endpoint::bornAt_.
+        std::uint64_t bornAt_ = 0; ///< Start of the engine; see `Endpoint::bornAt_`.
     };
     /// Consecutive queries that an engine has not answered.
     struct UnansweredQueries
     {
         std::uint32_t count_ = 0;
-        std::uint64_t bornAt_ = 0; ///< Start of the engine; see Endpoint::bornAt_.
+        std::uint64_t bornAt_ = 0; ///< Start of the engine; see `Endpoint::bornAt_`.
     };
 
     std::map<VmId, Load> loads_;
@@ -132,7 +132,7 @@
     bool hadOrders_ = false;            ///< Orders were sent or have completed since the last plan.
     Epoch counterEpoch_;
     std::uint64_t epochCounter_ = 0;
-    bool wasHeld_ = false;
+    bool wasLeaseHeld_ = false;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
--- a/include/cardamombay/serving/replica_planner.hpp
+++ b/include/cardamombay/serving/replica_planner.hpp
@@ -29,7 +29,7 @@
     std::set<VmId> recentlyFreed_;       ///< Left their group only moments ago.
     std::map<VmId, ModelName> loading_;  ///< Loads from the weight store in progress.
     std::set<GroupName> releasedGroups_; ///< Groups whose heads have left; see GroupHeads.
-    bool isFirstLoad_ = false;           ///< No request has arrived yet, so loads are fast.
+    bool isFirstStart_ = false;          ///< No request has arrived yet, so loads are fast.
     std::map<ModelName, double> demand_; ///< Demand by model, in groups; empty if unknown.
     const ModelMix *mix_ = nullptr;      ///< Null: engines keep their models.
     std::function<std::uint64_t()> nextEpoch_; ///< Increases across all planners.
--- a/src/serving/planner_converting.cpp
+++ b/src/serving/planner_converting.cpp
@@ -26,7 +26,7 @@
 /// same groups again and no more than necessary.
 void PlannerRun::convert()
 {
-    if (input_.isFirstLoad_ || input_.demand_.empty() || input_.mix_ == nullptr)
+    if (input_.isFirstStart_ || input_.demand_.empty() || input_.mix_ == nullptr)
         return;
     while (const auto conversion = input_.mix_->next(modelLoads())) {
         const auto *group = convertible(*conversion);
--- a/src/serving/planner_forming.cpp
+++ b/src/serving/planner_forming.cpp
@@ -96,7 +96,7 @@
     const auto *model = worstServedModel(free, Readiness::Staged);
     // A group whose members must load weights waits for the slowest load. That is acceptable only
     // at the first start; later, engines load one by one while they are spare.
-    if (model == nullptr && input_.isFirstLoad_ && mayLoad())
+    if (model == nullptr && input_.isFirstStart_ && mayLoad())
         model = initialModel(free);
     if (model == nullptr)
         return false;
@@ -283,7 +283,7 @@
 /// itself.
 void PlannerRun::formAcrossDomains()
 {
-    if (input_.isFirstLoad_)
+    if (input_.isFirstStart_)
         return;
     for (const auto &model : input_.profile_->models_) {
         auto engines = settledSpares(model);
--- a/src/serving/planner_reclaiming.cpp
+++ b/src/serving/planner_reclaiming.cpp
@@ -199,7 +199,7 @@
 
 bool PlannerRun::mayLoadReserve() const
 {
-    return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_ / reserveLoadsDivisor;
+    return input_.isFirstStart_ || loads_ < input_.profile_->loadsAtOnce_ / reserveLoadsDivisor;
 }
 
 /// Engines of smaller groups keep the weights of the largest model on their hosts, in addition to
--- a/src/serving/planner_run.cpp
+++ b/src/serving/planner_run.cpp
@@ -23,7 +23,7 @@
 /// compared with 42 under the limit.
 bool PlannerRun::mayLoad() const
 {
-    return input_.isFirstLoad_ || loads_ < input_.profile_->loadsAtOnce_;
+    return input_.isFirstStart_ || loads_ < input_.profile_->loadsAtOnce_;
 }
 
 bool PlannerRun::isLoading(const Endpoint &engine) const
@@ -64,11 +64,11 @@
         formInDomain(engines);
         // At the first start, each domain is filled before the next one is started: full domains
         // can replace a lost member without a load.
-        if (input_.isFirstLoad_)
+        if (input_.isFirstStart_)
             loadAtStart(engines);
     }
     formAcrossDomains();
-    if (!input_.isFirstLoad_)
+    if (!input_.isFirstStart_)
         loadSpares();
     for (const auto &[domain, engines] : free_)
         warmUpSpares(engines);
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -71,7 +71,7 @@
     const auto now = parts_.clock_.now();
     expire(now, listedAsOf);
     const bool isHeld = parts_.lease_.isHeldFor(orderMargin);
-    if (std::exchange(wasHeld_, isHeld) != isHeld)
+    if (std::exchange(wasLeaseHeld_, isHeld) != isHeld)
         log::info(isHeld ? event::leaseGained : event::leaseLost,
                   {{"epoch", std::to_string(parts_.lease_.epoch().value())}});
     if (!isHeld || now - listedAsOf > maxViewAge || !isDue(now))
@@ -143,7 +143,7 @@
             input.recentlyFreed_.insert(engine);
     }
     input.releasedGroups_ = serviceState.heads_.released(engines);
-    input.isFirstLoad_ = isFirstLoad_;
+    input.isFirstStart_ = isFirstStart_;
     input.demand_ = demand_;
     input.mix_ = parts_.mix_;
     input.nextEpoch_ = [this] { return nextEpoch(); };
@@ -152,9 +152,9 @@
 
 void ReplicaManager::planService(const Service &service)
 {
-    const auto engines = plannable(parts_.book_.ofService(service.name_));
+    const auto engines = plannableEngines(parts_.book_.ofService(service.name_));
     auto &serviceState = serviceStates_[service.name_];
-    if (isFirstLoad_ && !isListingSettled(serviceState, engines.size()))
+    if (isFirstStart_ && !isListingSettled(serviceState, engines.size()))
         return;
     queryStalledGroups(engines);
     queryUngroupedEngines(serviceState, engines);
@@ -170,7 +170,7 @@
 /// Groups within evacuated availability zones are left as they are until the zone returns, and no
 /// groups form there. Groups that also have members in other zones continue to serve.
 std::vector<const Endpoint *>
-ReplicaManager::plannable(const std::vector<const Endpoint *> &engines) const
+ReplicaManager::plannableEngines(const std::vector<const Endpoint *> &engines) const
 {
     std::set<GroupName> serving;
     for (const auto *engine : engines) {
@@ -340,7 +340,7 @@
         const auto model = modelLoadedBy(planned.order_);
         const auto alone = loadTimeOf(profile, model);
         loads_[planned.engine_]
-            = {now + (isFirstLoad_ ? alone / 5 : alone * 3 / 2), model, engine->bornAt_};
+            = {now + (isFirstStart_ ? alone / 5 : alone * 3 / 2), model, engine->bornAt_};
     }
     log::info(event::orderSent, {{"engine", planned.engine_.text()},
                                  {"order", std::string(nameOf(planned.order_))},
--- a/tests/serving/planner_invariants.cpp
+++ b/tests/serving/planner_invariants.cpp
@@ -43,11 +43,11 @@
     {
         bench_.profile_.models_[0].members_ = deployment.largeGroup_;
         bench_.profile_.models_[1].members_ = deployment.smallGroup_;
-        bench_.input_.isFirstLoad_ = true;
+        bench_.input_.isFirstStart_ = true;
         bench_.input_.mix_ = &mix_;
         for (int domain = 0; domain < deployment.domains_; ++domain) {
             for (int i = 0; i < deployment.engines_; ++i)
-                add(std::to_string(domain));
+                addSpare(std::to_string(domain));
         }
     }
 
@@ -60,13 +60,13 @@
             if (plan.empty())
                 return;
             for (const auto &order : plan)
-                carryOut(order);
+                execute(order);
         }
     }
 
     void startTraffic()
     {
-        bench_.input_.isFirstLoad_ = false;
+        bench_.input_.isFirstStart_ = false;
         bench_.input_.demand_ = {{ModelName("m"), deployment_.largeDemand_},
                                  {ModelName("n"), deployment_.smallDemand_}};
     }
@@ -79,7 +79,7 @@
         const auto domain = bench_.engines_[index].domain_.text();
         bench_.engines_.erase(bench_.engines_.begin() + static_cast<std::ptrdiff_t>(index));
         if (random_.unit() < 0.5)
-            add(domain);
+            addSpare(domain);
     }
 
     [[nodiscard]] std::size_t openGroups(const ModelName &model) const
@@ -93,7 +93,7 @@
     }
 
 private:
-    void add(const std::string &domain)
+    void addSpare(const std::string &domain)
     {
         bench_.engines_.push_back(spareEngine("e" + std::to_string(++count_), domain));
     }
@@ -131,7 +131,7 @@
             if (const auto *close = std::get_if<CloseOrder>(&order.order_))
                 cr_assert_not(close->abortsRequests_);
             if (std::holds_alternative<OpenOrder>(order.order_))
-                cr_assert_eq(listed(engine->membership_->group_),
+                cr_assert_eq(listedMembers(engine->membership_->group_),
                              sizeOf(modelOf(engine->membership_->group_)));
         }
         for (const auto &[group, members] : joins)
@@ -150,7 +150,7 @@
         return model == ModelName("m") ? deployment_.largeGroup_ : deployment_.smallGroup_;
     }
 
-    [[nodiscard]] std::size_t listed(const GroupName &group) const
+    [[nodiscard]] std::size_t listedMembers(const GroupName &group) const
     {
         return static_cast<std::size_t>(
             std::count_if(bench_.engines_.begin(), bench_.engines_.end(), [&](const auto &engine) {
@@ -158,7 +158,7 @@
             }));
     }
 
-    void carryOut(const PlannedOrder &planned)
+    void execute(const PlannedOrder &planned)
     {
         auto &engine = *find(planned.engine_);
         if (const auto *join = std::get_if<JoinOrder>(&planned.order_)) {
--- a/tests/serving/replica_converting.cpp
+++ b/tests/serving/replica_converting.cpp
@@ -152,7 +152,7 @@
 Test(replica_converting, hosts_keep_the_model_of_their_group_until_the_demand_is_known)
 {
     ShiftedBench bench;
-    bench.input_.isFirstLoad_ = true;
+    bench.input_.isFirstStart_ = true;
     bench.input_.demand_.clear();
     bench.addLarge("m.9", "d1");
     cr_assert_eq(loadsOf(bench.plan(), "n"), 0);
--- a/tests/serving/replica_planner.cpp
+++ b/tests/serving/replica_planner.cpp
@@ -132,7 +132,7 @@
 Test(replica_planner, first_start_assigns_domains_to_models_in_turn)
 {
     PlannerBench bench;
-    bench.input_.isFirstLoad_ = true;
+    bench.input_.isFirstStart_ = true;
     for (const auto *domain : {"d", "e"}) {
         for (int i = 0; i < 2; ++i)
             bench.engines_.push_back(spareEngine(std::string(domain) + std::to_string(i), domain));
@@ -147,7 +147,7 @@
 Test(replica_planner, first_start_assigns_more_domains_to_the_model_with_larger_groups)
 {
     PlannerBench bench;
-    bench.input_.isFirstLoad_ = true;
+    bench.input_.isFirstStart_ = true;
     auto profile = *gatewayConfiguration().services_.front().engine_;
     profile.models_[0].members_ = 4;
     profile.models_[0].share_ = 0.57;
--- a/tests/serving/replica_reclaiming.cpp
+++ b/tests/serving/replica_reclaiming.cpp
@@ -53,7 +53,7 @@
 Test(replica_reclaiming, domains_filled_by_groups_of_both_sizes_serve_both_models)
 {
     MixedBench bench;
-    bench.input_.isFirstLoad_ = true;
+    bench.input_.isFirstStart_ = true;
     for (int domain = 0; domain < 3; ++domain) {
         for (int i = 0; i < 8; ++i) {
             const auto name = std::to_string(domain);
@@ -70,7 +70,7 @@
 Test(replica_reclaiming, small_groups_form_only_after_the_large_group_of_their_domain)
 {
     MixedBench bench;
-    bench.input_.isFirstLoad_ = true;
+    bench.input_.isFirstStart_ = true;
     for (int i = 0; i < 8; ++i)
         bench.engines_.push_back(spareEngine("d" + std::to_string(i), "d"));
     for (int i = 0; i < 3; ++i)
--- a/tests/support/shifted_demand_simulation.hpp
+++ b/tests/support/shifted_demand_simulation.hpp
@@ -66,12 +66,12 @@
         bench_.profile_.models_[1].share_ = 0.5;
         bench_.profile_.loadsAtOnce_ = 20;
         bench_.input_.mix_ = &mix;
-        bench_.input_.isFirstLoad_ = true;
+        bench_.input_.isFirstStart_ = true;
         for (int i = 0; i < domains * enginesPerDomain; ++i)
             add("d" + std::to_string(i / enginesPerDomain));
         for (; now_ < 12; now_ += step)
             advance();
-        bench_.input_.isFirstLoad_ = false;
+        bench_.input_.isFirstStart_ = false;
         now_ = 0;
         started_ = true;
     }
@@ -138,7 +138,7 @@
             add(arrivals_.front().second);
             arrivals_.pop();
         }
-        carryOutDue();
+        executeDue();
         for (const auto &order : bench_.plan())
             accept(order);
     }
@@ -173,7 +173,7 @@
 
     [[nodiscard]] double timeOf(const Endpoint &engine, const Order &order) const
     {
-        const double slow = bench_.input_.isFirstLoad_ ? 0.1 : 1;
+        const double slow = bench_.input_.isFirstStart_ ? 0.1 : 1;
         if (const auto *join = std::get_if<JoinOrder>(&order)) {
             if (engine.model_ == join->model_)
                 return loadedJoinSeconds;
@@ -205,7 +205,7 @@
         due_[engine.id_] = {now_ + timeOf(engine, planned.order_), planned};
     }
 
-    void carryOutDue()
+    void executeDue()
     {
         for (auto *orders : {&due_, &loads_}) {
             for (auto one = orders->begin(); one != orders->end();) {
@@ -216,12 +216,12 @@
                 const auto planned = one->second.second;
                 one = orders->erase(one);
                 if (auto *engine = find(planned.engine_))
-                    carryOut(*engine, planned.order_);
+                    execute(*engine, planned.order_);
             }
         }
     }
 
-    void carryOut(Endpoint &engine, const Order &order)
+    void execute(Endpoint &engine, const Order &order)
     {
         if (const auto *stage = std::get_if<StageOrder>(&order)) {
             engine.staged_ = {stage->model_};
