--- a/apps/cardamombay-gateway/gateway_daemon.cpp
+++ b/apps/cardamombay-gateway/gateway_daemon.cpp
@@ -102,9 +102,9 @@
     , store_(storeHttp_, {settings_.store_, storeTimeout})
     , orders_(orderHttp_, orderTimeout, stateTimeout)
     , meteredStore_(clock_, store_, store_, registry_)
-    , balancer_(book_, board_, upstream_, Random(seedOf(settings_.entry_)))
+    , balancer_(endpointRegistry_, loadTracker_, upstream_, Random(seedOf(settings_.entry_)))
     , metrics_(registry_)
-    , gateway_({clock_, upstream_, dialect_, board_, balancer_, metrics_}, settings_.bounds_,
+    , gateway_({clock_, upstream_, dialect_, loadTracker_, balancer_, metrics_}, settings_.bounds_,
                Random(seedOf(settings_.entry_) + 1))
     , gatedOrders_(clock_, orders_, gateway_.notices())
     , meteredOrders_(clock_, gatedOrders_, registry_)
@@ -175,11 +175,11 @@
     lease_ = std::make_unique<leases::LeaseKeeper>(
         clock_, meteredStore_, Random(seedOf(settings_.entry_) + 2), serving::plannerLeaseTimes(),
         settings_.entry_, incarnation, FabricDomain("fleet"), valueOf(std::move(leaseProgram)));
-    manager_ = std::make_unique<serving::ReplicaManager>(
-        serving::ManagerParts{clock_, *lease_, meteredOrders_, book_, board_, &mix_});
+    manager_ = std::make_unique<serving::ReplicaManager>(serving::ManagerParts{
+        clock_, *lease_, meteredOrders_, endpointRegistry_, loadTracker_, &mix_});
     node_ = std::make_unique<serving::Node>(
         serving::NodeParts{clock_, meteredStore_, meteredStore_, format_, datagrams_, *lease_,
-                           book_, board_, gateway_, *manager_},
+                           endpointRegistry_, loadTracker_, gateway_, *manager_},
         serving::NodeSettings{settings_.entry_, settings_.zone_, incarnation, settings_.digests_,
                               settings_.isFirstStart_, settings_.cores_, settings_.linkMegabits_,
                               settings_.newsBound_});
--- a/apps/cardamombay-gateway/gateway_daemon.hpp
+++ b/apps/cardamombay-gateway/gateway_daemon.hpp
@@ -86,8 +86,8 @@
     serving::MeteredStore meteredStore_;
     adapter::PlatformFormat format_;
     adapter::PlatformDialect dialect_;
-    serving::EndpointBook book_;
-    serving::LoadBoard board_;
+    serving::EndpointRegistry endpointRegistry_;
+    serving::LoadTracker loadTracker_;
     serving::Balancer balancer_;
     serving::GatewayMetrics metrics_;
     serving::Gateway gateway_;
--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -183,10 +183,10 @@
 #include <cardamombay/serving/digest_hub.hpp>
 #include <cardamombay/serving/duty_order.hpp>
 #include <cardamombay/serving/endpoint.hpp>
-#include <cardamombay/serving/endpoint_book.hpp>
 #include <cardamombay/serving/endpoint_gate.hpp>
 #include <cardamombay/serving/endpoint_limits.hpp>
 #include <cardamombay/serving/endpoint_notices.hpp>
+#include <cardamombay/serving/endpoint_registry.hpp>
 #include <cardamombay/serving/engine_model.hpp>
 #include <cardamombay/serving/evacuations.hpp>
 #include <cardamombay/serving/event_scanner.hpp>
@@ -198,7 +198,7 @@
 #include <cardamombay/serving/gateway_settings.hpp>
 #include <cardamombay/serving/group_heads.hpp>
 #include <cardamombay/serving/group_view.hpp>
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 #include <cardamombay/serving/metered_platform.hpp>
 #include <cardamombay/serving/model_mix.hpp>
 #include <cardamombay/serving/news_budget.hpp>
@@ -214,9 +214,9 @@
 #include <cardamombay/serving/reporters.hpp>
 #include <cardamombay/serving/request_fingerprint.hpp>
 #include <cardamombay/serving/request_regions.hpp>
-#include <cardamombay/serving/reservation_book.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 #include <cardamombay/serving/reservation_messages.hpp>
+#include <cardamombay/serving/reservation_scheduler.hpp>
 #include <cardamombay/serving/roster.hpp>
 #include <cardamombay/serving/route_table.hpp>
 #include <cardamombay/serving/send_budget.hpp>
--- a/include/cardamombay/serving/balancer.hpp
+++ b/include/cardamombay/serving/balancer.hpp
@@ -6,8 +6,8 @@
 
 #include <cardamombay/core/random.hpp>
 #include <cardamombay/net/upstream.hpp>
-#include <cardamombay/serving/endpoint_book.hpp>
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/endpoint_registry.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 #include <cardamombay/serving/request_fingerprint.hpp>
 #include <cardamombay/serving/request_regions.hpp>
 #include <cardamombay/serving/route_table.hpp>
@@ -22,22 +22,22 @@
 namespace cardamombay::serving {
 
 /// \brief What a request needs of its endpoint.
-struct Demand
+struct RoutingRequest
 {
     const Service *service_ = nullptr;
     ModelName model_;             ///< For services with engines.
     std::span<const VmId> tried_; ///< Not again there.
     RequestRegions regions_;
     std::size_t promptTokens_ = 0;
-    Duration goal_{};       ///< Time to the first event that counts as on time.
-    bool isHeld_ = false;   ///< It has waited here, and is late already.
-    bool hasBegun_ = false; ///< Its caller has a part of the answer already.
+    Duration goal_{};               ///< Time to the first event that counts as on time.
+    bool wasQueued_ = false;        ///< It has waited here, and is late already.
+    bool hasPartialAnswer_ = false; ///< Its caller has a part of the answer already.
     /// Endpoints have ended under it. All entry VMs send a suspect to the same endpoint, so that
     /// one that does end them ends one at a time, and suspects of one end go to different ones.
     std::optional<RequestFingerprint> suspect_;
-    const SendGate *gate_ = nullptr;       ///< Of endpoints with notices; null: there are none.
-    Duration longestWait_{};               ///< For an endpoint that may be sent to later.
-    std::optional<EndpointLife> reserved_; ///< A send there is reserved and may leave now.
+    const SendGate *gate_ = nullptr; ///< Of endpoints with notices; null: there are none.
+    Duration maxWait_{};             ///< For an endpoint that may be sent to later.
+    std::optional<EndpointIncarnation> reserved_; ///< A send there is reserved and may leave now.
 };
 
 /// \brief Where a request goes.
@@ -45,11 +45,11 @@
 {
     VmId endpoint_;
     Address address_;
-    Duration patience_{};      ///< Silence after which the endpoint counts as stalled; zero: never.
-    std::uint64_t bornAt_ = 0; ///< Of the endpoint, as it lists itself.
-    std::size_t passedOver_ = 0; ///< Endpoints in a cooldown that it was chosen in place of.
+    Duration stallTimeout_{}; ///< Silence after which the endpoint counts as stalled; zero: never.
+    std::uint64_t startedAt_ = 0;       ///< Of the endpoint, as it lists itself.
+    std::size_t skippedInCooldown_ = 0; ///< Endpoints in a cooldown that it was chosen in place of.
 
-    [[nodiscard]] EndpointLife life() const { return {endpoint_, bornAt_}; }
+    [[nodiscard]] EndpointIncarnation incarnation() const { return {endpoint_, startedAt_}; }
 };
 
 /// \brief Why there is no target.
@@ -63,13 +63,13 @@
 /// \brief Only an endpoint that limits the rate of requests has room.
 struct NeedsReservation
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
 };
 
 /// \brief None of the endpoints that could serve the request takes one in time, by their notices.
 struct NoEndpointInTime
 {
-    Duration comeBackIn_{}; ///< Until the first of them may take one.
+    Duration retryAfter_{}; ///< Until the first of them may take one.
     std::string_view reason_;
 };
 
@@ -80,13 +80,13 @@
 {
 public:
     /// \param book, board, connections outlive the balancer.
-    Balancer(const EndpointBook &book, const LoadBoard &board,
+    Balancer(const EndpointRegistry &book, const LoadTracker &board,
              const net::UnusedConnections &connections, Random random);
 
     /// \brief The region of each availability zone.
     void setRegions(std::map<AvailabilityZone, RegionName> regions);
 
-    [[nodiscard]] Choice choose(const Demand &demand, TimePoint now);
+    [[nodiscard]] Choice choose(const RoutingRequest &request, TimePoint now);
 
     /// \brief True if the endpoint gets nothing new: it says that it leaves, or is no longer
     /// listed.
@@ -103,12 +103,12 @@
     {
         VmId endpoint_;
         Address address_;
-        std::uint64_t bornAt_ = 0;
+        std::uint64_t startedAt_ = 0;
         ModelName model_;
         double slowness_ = 1; ///< Factor on a group's times.
         RegionName region_;
 
-        [[nodiscard]] EndpointLife life() const { return {endpoint_, bornAt_}; }
+        [[nodiscard]] EndpointIncarnation incarnation() const { return {endpoint_, startedAt_}; }
     };
     struct Derived
     {
@@ -126,36 +126,36 @@
     };
 
     [[nodiscard]] RegionName regionOf(const Endpoint &endpoint) const;
-    [[nodiscard]] bool isOutOfRegion(const Demand &demand) const;
-    [[nodiscard]] Usable usable(const Demand &demand, TimePoint now);
-    [[nodiscard]] Choice whenCooled(Duration soonest, const Demand &demand);
+    [[nodiscard]] bool isOutOfRegion(const RoutingRequest &request) const;
+    [[nodiscard]] Usable usable(const RoutingRequest &request, TimePoint now);
+    [[nodiscard]] Choice whenCooled(Duration soonest, const RoutingRequest &request);
     [[nodiscard]] Choice chooseAdvised(std::vector<const Candidate *> candidates,
-                                       const Demand &demand, TimePoint now);
+                                       const RoutingRequest &request, TimePoint now);
     [[nodiscard]] Choice chooseUsable(std::vector<const Candidate *> candidates,
-                                      const Demand &demand, TimePoint now);
+                                      const RoutingRequest &request, TimePoint now);
     [[nodiscard]] const Candidate *best(const std::vector<const Candidate *> &candidates,
-                                        const Demand &demand, TimePoint now);
+                                        const RoutingRequest &request, TimePoint now);
     [[nodiscard]] Choice chooseLimited(const std::vector<const Candidate *> &limited,
-                                       const Demand &demand, TimePoint now);
+                                       const RoutingRequest &request, TimePoint now);
     [[nodiscard]] const Candidate *leastLoaded(const std::vector<const Candidate *> &candidates,
                                                std::size_t limit);
     [[nodiscard]] static const Candidate *first(const std::vector<const Candidate *> &candidates,
                                                 const RequestFingerprint &suspect);
     [[nodiscard]] const Candidate *soonest(std::vector<const Candidate *> candidates,
-                                           const Demand &demand, TimePoint now);
-    [[nodiscard]] bool hasRoom(const Candidate &candidate, const Demand &demand,
+                                           const RoutingRequest &request, TimePoint now);
+    [[nodiscard]] bool hasRoom(const Candidate &candidate, const RoutingRequest &request,
                                TimePoint now) const;
-    [[nodiscard]] Duration cost(const Candidate &candidate, const Demand &demand,
+    [[nodiscard]] Duration cost(const Candidate &candidate, const RoutingRequest &request,
                                 TimePoint now) const;
-    [[nodiscard]] Duration timeToFirst(const Candidate &candidate, const Demand &demand,
+    [[nodiscard]] Duration timeToFirst(const Candidate &candidate, const RoutingRequest &request,
                                        TimePoint now) const;
-    [[nodiscard]] std::size_t usualPrompt(const Demand &demand) const;
-    void notePrompt(const Demand &demand);
+    [[nodiscard]] std::size_t usualPrompt(const RoutingRequest &request) const;
+    void notePrompt(const RoutingRequest &request);
     [[nodiscard]] Duration backlog(const Candidate &candidate, const EngineProfile &profile,
                                    TimePoint now) const;
 
-    const EndpointBook &book_;
-    const LoadBoard &board_;
+    const EndpointRegistry &endpointRegistry_;
+    const LoadTracker &loadTracker_;
     const net::UnusedConnections &connections_;
     Random random_;
     std::map<AvailabilityZone, RegionName> regions_;
--- a/include/cardamombay/serving/cold_endpoints.hpp
+++ b/include/cardamombay/serving/cold_endpoints.hpp
@@ -45,7 +45,8 @@
 
     /// \brief The rate that a cold endpoint takes; nothing for one that is warm, or whose service
     /// bounds nothing.
-    [[nodiscard]] std::optional<double> perSecond(const EndpointLife &endpoint) const override;
+    [[nodiscard]] std::optional<double>
+    perSecond(const EndpointIncarnation &endpoint) const override;
 
 private:
     /// How the endpoints of a service start.
@@ -65,7 +66,7 @@
     Clock &clock_;
     GatewayMetrics &metrics_;
     std::map<ServiceName, ColdStart> starts_; ///< Of services that bound the rate.
-    std::map<EndpointLife, Record> cold_;
+    std::map<EndpointIncarnation, Record> cold_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/crash_detector.hpp
+++ b/include/cardamombay/serving/crash_detector.hpp
@@ -30,7 +30,7 @@
 /// \brief The end of an endpoint, as seen from here.
 struct EndpointCrash
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     std::vector<RequestAtCrash> requests_;
 };
 
@@ -50,10 +50,11 @@
     }
 
     /// \brief An attempt at the endpoint broke before its answer was whole.
-    void attemptBroke(const EndpointLife &endpoint, const Address &address, RequestAtCrash request);
+    void attemptBroke(const EndpointIncarnation &endpoint, const Address &address,
+                      RequestAtCrash request);
 
     /// \brief The platform's list says that the endpoint has started anew since.
-    void endpointRestarted(const EndpointLife &endpoint);
+    void endpointRestarted(const EndpointIncarnation &endpoint);
 
     /// \brief Reports what is known by now. Call every Gateway::sweepPeriod.
     void sweep();
@@ -76,7 +77,7 @@
     Clock &clock_;
     net::Upstream &upstream_;
     std::function<void(const EndpointCrash &)> crashed_;
-    std::map<EndpointLife, Case> cases_;
+    std::map<EndpointIncarnation, Case> cases_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/endpoint.hpp
+++ b/include/cardamombay/serving/endpoint.hpp
@@ -42,15 +42,15 @@
 };
 
 /// \brief One start of an endpoint, which may start again under its id.
-struct EndpointLife
+struct EndpointIncarnation
 {
     VmId id_;
-    std::uint64_t bornAt_ = 0; ///< As Endpoint::bornAt_.
+    std::uint64_t startedAt_ = 0; ///< As Endpoint::bornAt_.
 
     /// \brief The id, and the start if the endpoint says it.
     [[nodiscard]] std::string text() const;
-    [[nodiscard]] static EndpointLife parse(std::string_view text);
-    friend auto operator<=>(const EndpointLife &, const EndpointLife &) = default;
+    [[nodiscard]] static EndpointIncarnation parse(std::string_view text);
+    friend auto operator<=>(const EndpointIncarnation &, const EndpointIncarnation &) = default;
 };
 
 /// \brief An endpoint as it lists itself. One that starts again may keep its id; it knows nothing
@@ -67,10 +67,10 @@
     ModelName model_;               ///< Loaded now, or by its last group; empty if none.
     std::vector<ModelName> staged_; ///< Models on its host.
     std::optional<Membership> membership_;
-    std::uint64_t bornAt_ = 0; ///< Its start, Unix time in milliseconds; 0 if it does not say.
-    Duration coldFor_{};       ///< Time for which it stays cold, as of its entry.
+    std::uint64_t startedAt_ = 0; ///< Its start, Unix time in milliseconds; 0 if it does not say.
+    Duration coldFor_{};          ///< Time for which it stays cold, as of its entry.
 
-    [[nodiscard]] EndpointLife life() const { return {id_, bornAt_}; }
+    [[nodiscard]] EndpointIncarnation incarnation() const { return {id_, startedAt_}; }
     [[nodiscard]] bool hasStaged(const ModelName &model) const;
     friend bool operator==(const Endpoint &, const Endpoint &) = default;
 };
--- a/include/cardamombay/serving/endpoint_gate.hpp
+++ b/include/cardamombay/serving/endpoint_gate.hpp
@@ -7,13 +7,13 @@
 
 #include <cardamombay/serving/balancer.hpp>
 #include <cardamombay/serving/endpoint_notices.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 #include <cardamombay/serving/send_gate.hpp>
 
 namespace cardamombay::serving {
 
 /// \brief Result of the last look before a send.
-enum class LastLook {
+enum class SendDecision {
     Send,
     Leaving,   ///< The endpoint leaves, or is not listed any more.
     Evacuated, ///< Operators empty its availability zone.
@@ -27,28 +27,31 @@
 public:
     /// \param balancer, notices, reservations outlive the gate.
     EndpointGate(const Balancer &balancer, EndpointNotices &notices,
-                 const ReservationDesk &reservations);
+                 const ReservationCoordinator &reservations);
 
     /// \brief Asked when the connection stands; a send that is withheld is counted.
     /// \param isReserved the send was reserved.
-    [[nodiscard]] LastLook lastLook(const EndpointLife &endpoint, bool isReserved, TimePoint now);
+    [[nodiscard]] SendDecision checkSend(const EndpointIncarnation &endpoint, bool isReserved,
+                                         TimePoint now);
 
     /// \name SendGate
     /// \{
-    [[nodiscard]] std::optional<SendBar> bar(const EndpointLife &endpoint,
-                                             TimePoint now) const override;
-    [[nodiscard]] bool isAdvisedAgainst(const EndpointLife &endpoint, TimePoint now) const override;
-    [[nodiscard]] bool isLimited(const EndpointLife &endpoint) const override;
-    [[nodiscard]] std::optional<Duration> fullFor(const EndpointLife &endpoint,
-                                                  Duration wait) const override;
+    [[nodiscard]] std::optional<SendBlock> sendBlock(const EndpointIncarnation &endpoint,
+                                                     TimePoint now) const override;
+    [[nodiscard]] bool isDeprioritized(const EndpointIncarnation &endpoint,
+                                       TimePoint now) const override;
+    [[nodiscard]] bool isLimited(const EndpointIncarnation &endpoint) const override;
+    [[nodiscard]] std::optional<Duration> timeUntilCapacity(const EndpointIncarnation &endpoint,
+                                                            Duration wait) const override;
     /// \}
 
 private:
-    [[nodiscard]] LastLook look(const EndpointLife &endpoint, bool isReserved, TimePoint now) const;
+    [[nodiscard]] SendDecision look(const EndpointIncarnation &endpoint, bool isReserved,
+                                    TimePoint now) const;
 
     const Balancer &balancer_;
     EndpointNotices &notices_;
-    const ReservationDesk &reservations_;
+    const ReservationCoordinator &reservations_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/endpoint_limits.hpp
+++ b/include/cardamombay/serving/endpoint_limits.hpp
@@ -36,17 +36,17 @@
 };
 
 /// \brief What an entry VM tells of an endpoint's limit.
-struct LimitNews
+struct LimitUpdate
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     std::optional<double> perSecond_; ///< Nothing if the limit has ended.
     Duration age_{};                  ///< Since the endpoint said so.
 
-    friend bool operator==(const LimitNews &, const LimitNews &) = default;
+    friend bool operator==(const LimitUpdate &, const LimitUpdate &) = default;
 };
 
 /// \brief Adds \p from to \p into; of two that tell of one endpoint the younger one stays.
-void mergeNews(std::vector<LimitNews> &into, const std::vector<LimitNews> &from);
+void mergeUpdates(std::vector<LimitUpdate> &into, const std::vector<LimitUpdate> &from);
 
 /// \brief A rate for logs: three significant digits.
 [[nodiscard]] std::string textOf(double perSecond);
@@ -62,12 +62,12 @@
 public:
     /// \name Answers of endpoints
     /// \{
-    void stated(const EndpointLife &endpoint, double perSecond, TimePoint now);
+    void stated(const EndpointIncarnation &endpoint, double perSecond, TimePoint now);
     /// \brief An answer names no limit. One that was named while the answer was on its way stands.
     /// \param sentAt when the request was sent that it answers.
-    void notStated(const EndpointLife &endpoint, TimePoint sentAt, TimePoint now);
+    void notStated(const EndpointIncarnation &endpoint, TimePoint sentAt, TimePoint now);
     /// \brief An answer names a limit that cannot be read; what was known stands.
-    void unreadable(const EndpointLife &endpoint);
+    void unreadable(const EndpointIncarnation &endpoint);
     /// \}
 
     /// \name Peers
@@ -75,18 +75,19 @@
     /// \brief What was heard from endpoints just now, and what is known of those that this entry
     /// VM tells of in any case.
     /// \param isTold true for these.
-    [[nodiscard]] std::vector<LimitNews>
-    news(TimePoint now, const std::function<bool(const EndpointLife &)> &isTold);
+    [[nodiscard]] std::vector<LimitUpdate>
+    updates(TimePoint now, const std::function<bool(const EndpointIncarnation &)> &isTold);
     /// \brief Takes what a peer tells.
-    void take(const std::vector<LimitNews> &news, TimePoint now);
+    void take(const std::vector<LimitUpdate> &updates, TimePoint now);
     /// \}
 
     /// \brief Drops what was not heard for long.
     void expire(TimePoint now);
 
     /// \brief The limit in force; nothing if there is none.
-    [[nodiscard]] std::optional<EndpointLimit> find(const EndpointLife &endpoint) const;
-    [[nodiscard]] std::optional<double> perSecond(const EndpointLife &endpoint) const override;
+    [[nodiscard]] std::optional<EndpointLimit> find(const EndpointIncarnation &endpoint) const;
+    [[nodiscard]] std::optional<double>
+    perSecond(const EndpointIncarnation &endpoint) const override;
 
 private:
     struct Ended
@@ -95,14 +96,14 @@
         LimitSource source_ = LimitSource::Answer;
     };
 
-    void set(const EndpointLife &endpoint, double perSecond, TimePoint statedAt, LimitSource source,
-             TimePoint now);
-    void end(const EndpointLife &endpoint, TimePoint at, LimitSource source, TimePoint now);
+    void set(const EndpointIncarnation &endpoint, double perSecond, TimePoint statedAt,
+             LimitSource source, TimePoint now);
+    void end(const EndpointIncarnation &endpoint, TimePoint at, LimitSource source, TimePoint now);
 
-    std::map<EndpointLife, EndpointLimit> limits_;
-    std::map<EndpointLife, Ended> ended_;  ///< Lately.
-    std::optional<EndpointLife> lastTold_; ///< For the turn of the next ones.
-    std::set<EndpointLife> unreadable_;    ///< Already logged.
+    std::map<EndpointIncarnation, EndpointLimit> limits_;
+    std::map<EndpointIncarnation, Ended> ended_;  ///< Lately.
+    std::optional<EndpointIncarnation> lastTold_; ///< For the turn of the next ones.
+    std::set<EndpointIncarnation> unreadable_;    ///< Already logged.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/endpoint_notices.hpp
+++ b/include/cardamombay/serving/endpoint_notices.hpp
@@ -26,23 +26,23 @@
 };
 
 /// \brief What an entry VM tells its peers of an endpoint that turned it away.
-struct CooldownNews
+struct CooldownUpdate
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     Duration left_{};
 
-    friend bool operator==(const CooldownNews &, const CooldownNews &) = default;
+    friend bool operator==(const CooldownUpdate &, const CooldownUpdate &) = default;
 };
 
 /// \brief Adds \p from to \p into; of two that tell of one endpoint the longer one stays.
 /// \param age since \p from was told.
-void mergeNews(std::vector<CooldownNews> &into, const std::vector<CooldownNews> &from,
-               Duration age);
+void mergeUpdates(std::vector<CooldownUpdate> &into, const std::vector<CooldownUpdate> &from,
+                  Duration age);
 
 /// \brief The answer that notices came with.
 struct AnswerOrigin
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     TimePoint sentAt_{};        ///< Of the request that is answered.
     bool mayOmitLimit_ = false; ///< That a limit is not named does not end it.
 };
@@ -63,7 +63,7 @@
     void take(const AnswerOrigin &origin, const AnswerNotices &notices, TimePoint now);
 
     /// \brief Called when an endpoint has said for the first time that it leaves.
-    void onLeaving(std::function<void(const EndpointLife &)> action)
+    void onLeaving(std::function<void(const EndpointIncarnation &)> action)
     {
         leavingSeen_ = std::move(action);
     }
@@ -71,14 +71,14 @@
     /// \name Peers
     /// \{
     /// \brief Cooldowns that began or were named again here just now.
-    [[nodiscard]] std::vector<CooldownNews> news(TimePoint now) const;
+    [[nodiscard]] std::vector<CooldownUpdate> updates(TimePoint now) const;
     /// \brief Takes what a peer tells. An endpoint means only the entry VM that it turns away, so
     /// this is advice: it bars nothing.
-    void take(const std::vector<CooldownNews> &news, TimePoint now);
+    void take(const std::vector<CooldownUpdate> &updates, TimePoint now);
     /// \}
 
     /// \brief A send was withheld because of a notice; for the log.
-    void countWithheld(const EndpointLife &endpoint);
+    void countWithheld(const EndpointIncarnation &endpoint);
 
     /// \brief Drops what is over.
     void expire(TimePoint now);
@@ -88,11 +88,11 @@
     [[nodiscard]] EndpointLimits &limits() { return limits_; }
     [[nodiscard]] const EndpointLimits &limits() const { return limits_; }
     /// \brief The cooldown in force; nothing if there is none.
-    [[nodiscard]] std::optional<Cooldown> cooldown(const EndpointLife &endpoint,
+    [[nodiscard]] std::optional<Cooldown> cooldown(const EndpointIncarnation &endpoint,
                                                    TimePoint now) const;
-    [[nodiscard]] bool isLeaving(const EndpointLife &endpoint) const;
+    [[nodiscard]] bool isLeaving(const EndpointIncarnation &endpoint) const;
     /// \brief True if the endpoint has turned peers away and others should be tried first.
-    [[nodiscard]] bool isAdvisedAgainst(const EndpointLife &endpoint, TimePoint now) const;
+    [[nodiscard]] bool isDeprioritized(const EndpointIncarnation &endpoint, TimePoint now) const;
     /// \}
 
 private:
@@ -107,16 +107,16 @@
 
     void takeLimit(const AnswerOrigin &origin, const AnswerNotices &notices, TimePoint now);
     void takeCooldown(const AnswerOrigin &origin, const AnswerNotices &notices, TimePoint now);
-    void takeLeaving(const EndpointLife &endpoint, TimePoint now);
-    void end(const EndpointLife &endpoint, const Record &record, TimePoint now) const;
+    void takeLeaving(const EndpointIncarnation &endpoint, TimePoint now);
+    void end(const EndpointIncarnation &endpoint, const Record &record, TimePoint now) const;
 
     GatewayMetrics &metrics_;
     EndpointLimits limits_;
-    std::map<EndpointLife, Record> cooldowns_;
-    std::map<EndpointLife, TimePoint> advised_; ///< Until when peers are turned away.
-    std::map<EndpointLife, TimePoint> leaving_; ///< When they said so last.
-    std::set<EndpointLife> unreadable_;         ///< Already logged.
-    std::function<void(const EndpointLife &)> leavingSeen_;
+    std::map<EndpointIncarnation, Record> cooldowns_;
+    std::map<EndpointIncarnation, TimePoint> advised_; ///< Until when peers are turned away.
+    std::map<EndpointIncarnation, TimePoint> leaving_; ///< When they said so last.
+    std::set<EndpointIncarnation> unreadable_;         ///< Already logged.
+    std::function<void(const EndpointIncarnation &)> leavingSeen_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/endpoint_book.hpp
+++ b/include/cardamombay/serving/endpoint_registry.hpp
@@ -17,7 +17,7 @@
 namespace cardamombay::serving {
 
 /// \brief Endpoints by id; belongs to the control thread.
-class EndpointBook
+class EndpointRegistry
 {
 public:
     /// \name Changes
@@ -29,12 +29,12 @@
     void replaceAll(std::vector<Endpoint> endpoints, TimePoint now);
     /// \brief The store is back after an outage: entries may be missing without cause until \p
     /// until.
-    void excuseAbsence(TimePoint until) { excusedUntil_ = until; }
+    void tolerateAbsence(TimePoint until) { excusedUntil_ = until; }
     /// \brief The store was restored from a backup and may list endpoints as they were before they
     /// left. Until \p until one that was known to leave, or to be gone, stays so in the same life.
-    void holdLeaving(TimePoint until) { heldUntil_ = until; }
+    void keepLeaving(TimePoint until) { heldUntil_ = until; }
     /// \brief A listed endpoint has said itself that it leaves; its entry may still be on its way.
-    void markLeaving(const EndpointLife &endpoint);
+    void markLeaving(const EndpointIncarnation &endpoint);
     /// \brief Endpoints of \p zones get nothing new until other zones are set.
     void setEvacuated(std::set<AvailabilityZone> zones);
     /// \brief Drops those whose grace is over, and takes entries that were held back. Call a few
@@ -51,7 +51,7 @@
 
     /// \brief Entries of endpoints for which \p action is true count as leaving, whatever they
     /// list.
-    void setKnownLeaving(std::function<bool(const EndpointLife &)> action)
+    void setLeavingCheck(std::function<bool(const EndpointIncarnation &)> action)
     {
         isKnownLeaving_ = std::move(action);
     }
@@ -99,7 +99,7 @@
     std::map<VmId, Endpoint> endpoints_;
     std::map<VmId, Ended> ended_;
     std::function<void(const Endpoint &)> restarted_;
-    std::function<bool(const EndpointLife &)> isKnownLeaving_;
+    std::function<bool(const EndpointIncarnation &)> isKnownLeaving_;
     std::map<VmId, TimePoint> missing_; ///< Not listed; dropped at that time.
     TimePoint excusedUntil_{};
     std::map<VmId, Endpoint> heldBack_; ///< Entries that may be older than a leaving.
--- a/include/cardamombay/serving/evacuations.hpp
+++ b/include/cardamombay/serving/evacuations.hpp
@@ -46,7 +46,7 @@
     [[nodiscard]] const std::set<AvailabilityZone> &zones() const { return state_.zones_; }
 
     /// \brief True if peers must be told: there is, or was, a zone to tell of.
-    [[nodiscard]] bool isWorthTelling() const { return !state_.version_.isNone(); }
+    [[nodiscard]] bool hasState() const { return !state_.version_.isNone(); }
 
 private:
     bool set(std::set<AvailabilityZone> zones);
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -18,7 +18,7 @@
 #include <cardamombay/serving/gateway_metrics.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
 #include <cardamombay/serving/repeat_window.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 
 #include <map>
 #include <memory>
@@ -48,7 +48,7 @@
     Clock &clock_;
     net::Upstream &upstream_;
     const Dialect &dialect_;
-    LoadBoard &board_;
+    LoadTracker &loadTracker_;
     Balancer &balancer_;
     GatewayMetrics &metrics_;
 };
@@ -113,7 +113,7 @@
     /// \brief Endpoints that have just started.
     [[nodiscard]] ColdEndpoints &coldEndpoints() { return coldEndpoints_; }
     /// \brief Reserves sends to the endpoints that take only few requests a second.
-    [[nodiscard]] ReservationDesk &reservations() { return reservations_; }
+    [[nodiscard]] ReservationCoordinator &reservations() { return reservations_; }
     /// \brief What is known of requests that end endpoints.
     [[nodiscard]] PoisonPills &poisonPills() { return poisonPills_; }
     /// \brief Takes what a peer tells of endpoints that ended, and of requests that end them.
@@ -125,7 +125,7 @@
     /// \brief An endpoint has started again: what it had of requests is lost, and they go on
     /// elsewhere at once.
     /// \param endpoint its earlier life.
-    void endpointRestarted(const EndpointLife &endpoint, const Address &address);
+    void endpointRestarted(const EndpointIncarnation &endpoint, const Address &address);
     [[nodiscard]] bool isRefusing() const { return isRefusing_; }
     /// \}
 
@@ -185,7 +185,7 @@
     EndpointNotices notices_;
     ColdEndpoints coldEndpoints_;
     LowestRate sendRates_;
-    ReservationDesk reservations_;
+    ReservationCoordinator reservations_;
     EndpointGate gate_;
     std::function<void()> crashSeen_;
     std::unordered_map<Session *, std::shared_ptr<Session>> sessions_;
--- a/include/cardamombay/serving/load_board.hpp
+++ b/include/cardamombay/serving/load_tracker.hpp
@@ -18,7 +18,7 @@
 namespace cardamombay::serving {
 
 /// \brief Work under way by endpoint; belongs to one thread.
-class LoadBoard
+class LoadTracker
 {
 public:
     /// A group that fails one request is avoided at once: the next one is mostly as good.
@@ -44,7 +44,7 @@
     /// \brief A stream there paused for longer than a healthy endpoint ever does.
     void stalled(const VmId &endpoint, TimePoint now);
     /// \brief The endpoint's process has ended. Nothing more goes to this life of it.
-    void crashed(const EndpointLife &endpoint, TimePoint now);
+    void crashed(const EndpointIncarnation &endpoint, TimePoint now);
     /// \brief The endpoint has started again: it has nothing to read, and none of its failures.
     void restarted(const VmId &endpoint);
     /// \}
@@ -72,32 +72,33 @@
     /// \name State
     /// \{
     /// \brief Requests that this entry VM has there.
-    [[nodiscard]] std::size_t own(const VmId &endpoint) const;
+    [[nodiscard]] std::size_t ownRequests(const VmId &endpoint) const;
     /// \brief Requests that all entry VMs have there, as far as is known.
-    [[nodiscard]] std::size_t total(const VmId &endpoint) const;
+    [[nodiscard]] std::size_t totalRequests(const VmId &endpoint) const;
     /// \brief Prompt tokens of all entry VMs that the endpoint has still to read, if it reads
     /// \p tokensPerSecond.
-    [[nodiscard]] double unread(const VmId &endpoint, double tokensPerSecond, TimePoint now) const;
+    [[nodiscard]] double pendingPromptTokens(const VmId &endpoint, double tokensPerSecond,
+                                             TimePoint now) const;
     /// \brief Endpoints that stalled here and were not heard since.
-    [[nodiscard]] std::vector<VmId> silentHere() const;
+    [[nodiscard]] std::vector<VmId> locallyStalled() const;
     /// \brief Endpoints that stand still: streams stalled at this entry VM or a peer, and nobody
     /// hears from them.
-    [[nodiscard]] std::vector<VmId> silentEverywhere(TimePoint now) const;
+    [[nodiscard]] std::vector<VmId> stalledEverywhere(TimePoint now) const;
     /// \brief Endpoints that have sent something just now to requests that are still there.
-    [[nodiscard]] std::unordered_map<VmId, std::size_t> heardHere(TimePoint now) const;
+    [[nodiscard]] std::unordered_map<VmId, std::size_t> locallyActive(TimePoint now) const;
     /// \brief False while the endpoint is avoided after a failure.
     [[nodiscard]] bool isUsable(const VmId &endpoint, TimePoint now) const;
     /// \brief True if this life of the endpoint is known to have ended.
     [[nodiscard]] bool hasCrashed(const VmId &endpoint, std::uint64_t bornAt) const;
     /// \brief When something came from the endpoint last; the epoch if never.
-    [[nodiscard]] TimePoint heardAt(const VmId &endpoint) const;
+    [[nodiscard]] TimePoint lastProgressAt(const VmId &endpoint) const;
     /// \brief Entry VMs whose counts are known, self not included.
     [[nodiscard]] std::size_t peerCount() const;
     /// \brief Own counts, for peers.
-    [[nodiscard]] std::unordered_map<VmId, std::size_t> ownCounts() const;
+    [[nodiscard]] std::unordered_map<VmId, std::size_t> ownRequestCounts() const;
     /// \brief Prompt tokens sent since this process started, for peers; of endpoints that got any
     /// lately.
-    [[nodiscard]] std::unordered_map<VmId, std::size_t> ownSent(TimePoint now) const;
+    [[nodiscard]] std::unordered_map<VmId, std::size_t> ownSentTokens(TimePoint now) const;
     /// \}
 
 private:
@@ -123,7 +124,7 @@
     mutable std::unordered_map<VmId, Entry> entries_;
     struct Crash
     {
-        std::uint64_t bornAt_ = 0; ///< Of the life that ended.
+        std::uint64_t startedAt_ = 0; ///< Of the life that ended.
         TimePoint at_{};
     };
     std::unordered_map<VmId, Crash> crashed_;
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -46,8 +46,8 @@
     const StoreFormat &format_;
     DatagramChannel &datagrams_;
     leases::LeaseKeeper &lease_;
-    EndpointBook &book_;
-    LoadBoard &board_;
+    EndpointRegistry &endpointRegistry_;
+    LoadTracker &loadTracker_;
     Gateway &gateway_;
     ReplicaManager &manager_;
 };
--- a/include/cardamombay/serving/peer_digests.hpp
+++ b/include/cardamombay/serving/peer_digests.hpp
@@ -56,8 +56,8 @@
     std::map<ModelName, double> demand_; ///< Its requests a second by model, times their work.
     std::map<ServiceName, RepeatCounts> repeats_; ///< Of the last window.
     PoisonNews poison_;                           ///< Requests that end endpoints.
-    std::vector<LimitNews> limits_;               ///< That endpoints named.
-    std::vector<CooldownNews> cooldowns_;         ///< That endpoints named to it.
+    std::vector<LimitUpdate> limits_;             ///< That endpoints named.
+    std::vector<CooldownUpdate> cooldowns_;       ///< That endpoints named to it.
     bool isDraining_ = false;
 
     friend bool operator==(const LoadDigest &, const LoadDigest &) = default;
--- a/include/cardamombay/serving/poison_pills.hpp
+++ b/include/cardamombay/serving/poison_pills.hpp
@@ -32,7 +32,7 @@
 struct PoisonNews
 {
     /// Requests that were under way at endpoints that ended just now.
-    std::map<EndpointLife, std::vector<RequestAtCrash>> crashes_;
+    std::map<EndpointIncarnation, std::vector<RequestAtCrash>> crashes_;
     std::vector<PoisonVerdict> verdicts_; ///< Some of those in force, all of them in turn.
     /// Requests that were served, or whose quarantine was lifted, just now.
     std::vector<RequestFingerprint> cleared_;
@@ -42,7 +42,7 @@
 };
 
 /// \brief Adds what \p from tells; a crash that both tell of is one.
-void mergeNews(PoisonNews &into, const PoisonNews &from);
+void mergeUpdates(PoisonNews &into, const PoisonNews &from);
 
 /// \brief Evidence and verdicts of one entry VM; belongs to the gateway's thread.
 /// \code
@@ -87,7 +87,7 @@
     /// \brief True if an endpoint has ended under the request and it was not served since.
     [[nodiscard]] bool isSuspect(const RequestFingerprint &request) const;
     /// \brief Requests that are quarantined, with the endpoints that ended under them.
-    [[nodiscard]] std::map<RequestFingerprint, std::vector<EndpointLife>>
+    [[nodiscard]] std::map<RequestFingerprint, std::vector<EndpointIncarnation>>
     quarantined(TimePoint now) const;
     /// \brief News for the peers, told several times since datagrams are lost.
     [[nodiscard]] PoisonNews news(TimePoint now);
@@ -97,8 +97,8 @@
 private:
     struct Record
     {
-        std::map<EndpointLife, bool> crashes_; ///< True if the endpoint had begun to answer.
-        std::vector<EndpointLife> ignored_;    ///< Ends before the request was served.
+        std::map<EndpointIncarnation, bool> crashes_; ///< True if the endpoint had begun to answer.
+        std::vector<EndpointIncarnation> ignored_;    ///< Ends before the request was served.
         TimePoint seenAt_{};
         TimePoint until_{}; ///< End of the quarantine; the epoch if there was none.
         TimePoint clearedAt_{};
@@ -113,7 +113,7 @@
 
     [[nodiscard]] bool wasServedLately(const RequestFingerprint &request, TimePoint now) const;
     void tellCleared(const RequestFingerprint &request, TimePoint now);
-    void note(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now);
+    void note(const EndpointIncarnation &endpoint, const RequestAtCrash &request, TimePoint now);
     void takeVerdict(const PoisonVerdict &verdict, TimePoint now);
     void quarantine(const RequestFingerprint &request, Record &record, Duration time,
                     TimePoint now);
--- a/include/cardamombay/serving/replica_manager.hpp
+++ b/include/cardamombay/serving/replica_manager.hpp
@@ -7,9 +7,9 @@
 
 #include <cardamombay/core/clock.hpp>
 #include <cardamombay/leases/lease_keeper.hpp>
-#include <cardamombay/serving/endpoint_book.hpp>
+#include <cardamombay/serving/endpoint_registry.hpp>
 #include <cardamombay/serving/group_heads.hpp>
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 #include <cardamombay/serving/replica_planner.hpp>
 #include <cardamombay/serving/route_table.hpp>
 
@@ -23,8 +23,8 @@
     Clock &clock_;
     leases::LeaseKeeper &lease_;
     ReplicaOrders &orders_;
-    const EndpointBook &book_;
-    const LoadBoard &board_;
+    const EndpointRegistry &endpointRegistry_;
+    const LoadTracker &loadTracker_;
     const ModelMix *mix_ = nullptr; ///< None: engines keep their models.
 };
 
@@ -111,13 +111,13 @@
     {
         TimePoint until_{}; ///< By then it has ended.
         ModelName model_;
-        std::uint64_t bornAt_ = 0; ///< Of the engine.
+        std::uint64_t startedAt_ = 0; ///< Of the engine.
     };
     /// Questions in a row that an engine left open.
     struct Silence
     {
         std::uint32_t questions_ = 0;
-        std::uint64_t bornAt_ = 0; ///< Of the engine.
+        std::uint64_t startedAt_ = 0; ///< Of the engine.
     };
 
     std::map<VmId, Load> loads_;
--- a/include/cardamombay/serving/replica_orders.hpp
+++ b/include/cardamombay/serving/replica_orders.hpp
@@ -90,20 +90,20 @@
     virtual void state(const Endpoint &engine, Callback<Endpoint> done) = 0;
 
     /// \brief Called with what answers say of the engines that gave them.
-    void onNotices(std::function<void(const EndpointLife &, const AnswerNotices &)> action)
+    void onNotices(std::function<void(const EndpointIncarnation &, const AnswerNotices &)> action)
     {
         noticed_ = std::move(action);
     }
 
 protected:
-    void tellNotices(const EndpointLife &engine, const AnswerNotices &notices) const
+    void tellNotices(const EndpointIncarnation &engine, const AnswerNotices &notices) const
     {
         if (noticed_)
             noticed_(engine, notices);
     }
 
 private:
-    std::function<void(const EndpointLife &, const AnswerNotices &)> noticed_;
+    std::function<void(const EndpointIncarnation &, const AnswerNotices &)> noticed_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/reservation_desk.hpp
+++ b/include/cardamombay/serving/reservation_coordinator.hpp
@@ -8,8 +8,8 @@
 #include <cardamombay/core/clock.hpp>
 #include <cardamombay/core/random.hpp>
 #include <cardamombay/serving/gateway_metrics.hpp>
-#include <cardamombay/serving/reservation_book.hpp>
 #include <cardamombay/serving/reservation_messages.hpp>
+#include <cardamombay/serving/reservation_scheduler.hpp>
 #include <cardamombay/serving/send_rates.hpp>
 
 #include <functional>
@@ -19,25 +19,25 @@
 
 namespace cardamombay::serving {
 
-class ReservationDesk;
+class ReservationCoordinator;
 
 /// \brief One send that was asked for; given back if it is dropped unused. The desk outlives it.
 class Reservation
 {
 public:
     enum class State {
-        Asked,   ///< The owner has not answered yet.
+        Pending, ///< The owner has not answered yet.
         Booked,  ///< It opens at opensAt().
         Refused, ///< None in time.
         Used,
     };
 
-    Reservation(ReservationDesk &desk, EndpointLife endpoint);
+    Reservation(ReservationCoordinator &desk, EndpointIncarnation endpoint);
     Reservation(const Reservation &) = delete;
     Reservation &operator=(const Reservation &) = delete;
     ~Reservation();
 
-    [[nodiscard]] const EndpointLife &endpoint() const { return endpoint_; }
+    [[nodiscard]] const EndpointIncarnation &endpoint() const { return endpoint_; }
     [[nodiscard]] State state() const { return state_; }
     /// \brief True if the send may leave now.
     [[nodiscard]] bool isOpen(TimePoint now) const;
@@ -47,22 +47,23 @@
     void use() { state_ = State::Used; }
 
 private:
-    friend class ReservationDesk;
+    friend class ReservationCoordinator;
 
-    ReservationDesk &desk_;
-    EndpointLife endpoint_;
-    State state_ = State::Asked;
+    ReservationCoordinator &desk_;
+    EndpointIncarnation endpoint_;
+    State state_ = State::Pending;
     TimePoint opensAt_{};
     Address owner_; ///< Who booked it; empty: this entry VM.
     std::function<void()> answered_;
 };
 
 /// \brief One entry VM's side, and its lines as an owner; belongs to the gateway's thread.
-class ReservationDesk
+class ReservationCoordinator
 {
 public:
     /// \param clock, rates, metrics outlive the desk.
-    ReservationDesk(Clock &clock, const SendRates &rates, GatewayMetrics &metrics, Random random);
+    ReservationCoordinator(Clock &clock, const SendRates &rates, GatewayMetrics &metrics,
+                           Random random);
 
     /// \name Peers
     /// \{
@@ -83,20 +84,20 @@
     /// \brief Asks for a send to \p endpoint that opens within \p within.
     /// \param answered called once if the answer comes later than the return of this function.
     [[nodiscard]] std::unique_ptr<Reservation>
-    reserve(const EndpointLife &endpoint, Duration within, std::function<void()> answered);
+    reserve(const EndpointIncarnation &endpoint, Duration within, std::function<void()> answered);
 
     /// \brief True if this entry VM owns \p endpoint.
-    [[nodiscard]] bool owns(const EndpointLife &endpoint) const;
+    [[nodiscard]] bool owns(const EndpointIncarnation &endpoint) const;
 
     /// \brief Ends what was not answered in time. Call with each sweep.
     void sweep();
 
     /// \brief True if a send needs a reservation.
-    [[nodiscard]] bool isLimited(const EndpointLife &endpoint) const;
+    [[nodiscard]] bool isLimited(const EndpointIncarnation &endpoint) const;
 
     /// \brief Time until a caller may find a send there; nothing if one may open within \p wait.
-    [[nodiscard]] std::optional<Duration> fullFor(const EndpointLife &endpoint,
-                                                  Duration wait) const;
+    [[nodiscard]] std::optional<Duration> timeUntilCapacity(const EndpointIncarnation &endpoint,
+                                                            Duration wait) const;
 
 private:
     friend class Reservation;
@@ -106,10 +107,10 @@
         EntryId entry_; ///< Empty: this entry VM.
         Address address_;
     };
-    struct Asked
+    struct Pending
     {
         Reservation *reservation_ = nullptr; ///< Null once it was dropped.
-        EndpointLife endpoint_;
+        EndpointIncarnation endpoint_;
         EntryId owner_;
         TimePoint askedAt_{};
         TimePoint until_{}; ///< The send must open by then.
@@ -124,27 +125,28 @@
         TimePoint noneBefore_{}; ///< No send opens before.
     };
 
-    [[nodiscard]] double perSecond(const EndpointLife &endpoint) const;
-    [[nodiscard]] Owner ownerOf(const EndpointLife &endpoint) const;
-    [[nodiscard]] Owner passedOver(const EndpointLife &endpoint) const;
-    [[nodiscard]] Owner firstOwner(const EndpointLife &endpoint, bool withSilent) const;
+    [[nodiscard]] double perSecond(const EndpointIncarnation &endpoint) const;
+    [[nodiscard]] Owner ownerOf(const EndpointIncarnation &endpoint) const;
+    [[nodiscard]] Owner passedOver(const EndpointIncarnation &endpoint) const;
+    [[nodiscard]] Owner firstOwner(const EndpointIncarnation &endpoint, bool withSilent) const;
     [[nodiscard]] bool isSilent(const EntryId &entry) const;
     [[nodiscard]] bool wasHeard(const EntryId &entry) const;
-    void ask(std::uint64_t number, Asked asked);
-    void askOwner(std::uint64_t number, Asked &asked, const Owner &owner);
-    void askAgain(std::uint64_t number, Asked asked);
+    void ask(std::uint64_t number, Pending asked);
+    void askOwner(std::uint64_t number, Pending &asked, const Owner &owner);
+    void askAgain(std::uint64_t number, Pending asked);
     void bookHere(Reservation &reservation, Duration within);
-    [[nodiscard]] BookingResult book(const EndpointLife &endpoint, double perSecond,
-                                     Duration within);
-    void settle(Reservation *reservation, const EndpointLife &endpoint, TimePoint until,
+    [[nodiscard]] BookingResult bookAsOwner(const EndpointIncarnation &endpoint, double perSecond,
+                                            Duration within);
+    void settle(Reservation *reservation, const EndpointIncarnation &endpoint, TimePoint until,
                 const BookingResult &result, const Address &owner);
     void tell(Reservation *reservation) const;
     void drop(Reservation &reservation);
-    void giveBack(const EndpointLife &endpoint, TimePoint opensAt, const Address &owner);
+    void returnBooking(const EndpointIncarnation &endpoint, TimePoint opensAt,
+                       const Address &owner);
     void take(const ReservationRequest &request);
     void take(const ReservationAnswer &answer);
-    void redirect(Asked asked, const ReservationAnswer &answer);
-    void probe(const Owner &owner, const EndpointLife &endpoint);
+    void redirect(Pending asked, const ReservationAnswer &answer);
+    void probe(const Owner &owner, const EndpointIncarnation &endpoint);
     void ownerSilent(const EntryId &owner);
     void send(const Address &to, std::string_view text) const;
 
@@ -156,10 +158,10 @@
     bool isLeaving_ = false;
     std::map<EntryId, Address> peers_;
     std::function<void(const Address &, std::string_view)> send_;
-    ReservationBook book_;
+    ReservationScheduler book_;
     std::uint64_t number_; ///< Of the last request.
-    std::map<std::uint64_t, Asked> asked_;
-    std::map<EndpointLife, Full> full_;
+    std::map<std::uint64_t, Pending> asked_;
+    std::map<EndpointIncarnation, Full> full_;
     std::map<EntryId, TimePoint> silentUntil_;
     std::map<EntryId, TimePoint> heardAt_; ///< Lately.
     TimePoint sweptAt_{};
--- a/include/cardamombay/serving/reservation_messages.hpp
+++ b/include/cardamombay/serving/reservation_messages.hpp
@@ -20,7 +20,7 @@
     EntryId from_;
     Address address_;          ///< Where the answer goes.
     std::uint64_t number_ = 0; ///< Comes back in the answer.
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     double perSecond_ = 0; ///< The endpoint's limit, as known to the sender.
     Duration within_{};    ///< The send must open within that time; zero: only asks for a sign.
     EntryId silentOwner_;  ///< An owner that did not answer; empty if none.
@@ -33,14 +33,14 @@
 {
     enum class Kind {
         Booked,
-        NoneInTime,
+        NoSlotInTime,
         NotOwner, ///< Another entry VM owns the endpoint.
     };
 
     EntryId from_;
     Address address_; ///< Of the sender, or of the owner where that is another one.
     std::uint64_t number_ = 0;
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     Kind kind_ = Kind::NotOwner;
     Duration time_{}; ///< Until the send opens, or until the caller may come back.
     EntryId owner_;   ///< Where the sender is not the owner.
@@ -51,7 +51,7 @@
 /// \brief Gives a booked send back.
 struct ReservationReturn
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     Duration opensIn_{};
     Duration openSince_{}; ///< Where it is open already.
 
--- a/include/cardamombay/serving/reservation_book.hpp
+++ b/include/cardamombay/serving/reservation_scheduler.hpp
@@ -21,12 +21,12 @@
 };
 
 /// \brief There is no send in time.
-struct NoneInTime
+struct NoSlotInTime
 {
-    Duration comeBackIn_{}; ///< When the caller may find one; later for each caller that is told.
+    Duration retryAfter_{}; ///< When the caller may find one; later for each caller that is told.
 };
 
-using BookingResult = std::variant<Booked, NoneInTime>;
+using BookingResult = std::variant<Booked, NoSlotInTime>;
 
 /// \brief Lines of the endpoints that one entry VM owns; belongs to the gateway's thread.
 /// \code
@@ -34,23 +34,23 @@
 /// if (const auto *booked = std::get_if<Booked>(&result))
 ///     sendAfter(booked->opensIn_);
 /// \endcode
-class ReservationBook
+class ReservationScheduler
 {
 public:
     /// \brief Sends are booked that long ahead at most.
-    static constexpr Duration longestAhead = std::chrono::seconds(1);
+    static constexpr Duration maxBookingAhead = std::chrono::seconds(1);
     /// \brief A booked send leaves within that time after it opens, or lapses.
-    static constexpr Duration validFor = std::chrono::milliseconds(250);
+    static constexpr Duration bookingValidity = std::chrono::milliseconds(250);
     /// \brief Also an endpoint that takes nothing gets so many requests a second, since only an
     /// answer tells that its limit has ended.
-    static constexpr double leastPerSecond = 0.1;
+    static constexpr double minPerSecond = 0.1;
 
     /// \brief Books a send that opens within \p within.
-    [[nodiscard]] BookingResult take(const EndpointLife &endpoint, double perSecond,
+    [[nodiscard]] BookingResult book(const EndpointIncarnation &endpoint, double perSecond,
                                      Duration within, TimePoint now);
 
     /// \brief Takes back a send that was to open at \p opensAt and is not used.
-    void giveBack(const EndpointLife &endpoint, TimePoint opensAt, TimePoint now);
+    void returnBooking(const EndpointIncarnation &endpoint, TimePoint opensAt, TimePoint now);
 
     /// \brief Nothing opens for a while, since others may have booked sends while this entry VM
     /// stood still.
@@ -68,7 +68,7 @@
         TimePoint askedAt_{};
     };
 
-    std::map<EndpointLife, Line> lines_;
+    std::map<EndpointIncarnation, Line> lines_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/send_gate.hpp
+++ b/include/cardamombay/serving/send_gate.hpp
@@ -10,7 +10,7 @@
 namespace cardamombay::serving {
 
 /// \brief Why an endpoint gets nothing at all.
-struct SendBar
+struct SendBlock
 {
     enum class Reason {
         Leaving,
@@ -30,19 +30,19 @@
     virtual ~SendGate() = default;
 
     /// \brief Why nothing may be sent there now; nothing if something may.
-    [[nodiscard]] virtual std::optional<SendBar> bar(const EndpointLife &endpoint,
-                                                     TimePoint now) const = 0;
+    [[nodiscard]] virtual std::optional<SendBlock> sendBlock(const EndpointIncarnation &endpoint,
+                                                             TimePoint now) const = 0;
 
     /// \brief True if others should be tried before the endpoint.
-    [[nodiscard]] virtual bool isAdvisedAgainst(const EndpointLife &endpoint,
-                                                TimePoint now) const = 0;
+    [[nodiscard]] virtual bool isDeprioritized(const EndpointIncarnation &endpoint,
+                                               TimePoint now) const = 0;
 
     /// \brief True if a send needs a reservation.
-    [[nodiscard]] virtual bool isLimited(const EndpointLife &endpoint) const = 0;
+    [[nodiscard]] virtual bool isLimited(const EndpointIncarnation &endpoint) const = 0;
 
     /// \brief Time until a caller may find a send there; nothing if one may open within \p wait.
-    [[nodiscard]] virtual std::optional<Duration> fullFor(const EndpointLife &endpoint,
-                                                          Duration wait) const = 0;
+    [[nodiscard]] virtual std::optional<Duration>
+    timeUntilCapacity(const EndpointIncarnation &endpoint, Duration wait) const = 0;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/send_rates.hpp
+++ b/include/cardamombay/serving/send_rates.hpp
@@ -21,7 +21,8 @@
     virtual ~SendRates() = default;
 
     /// \returns requests a second from all entry VMs together; nothing if the rate is not bounded.
-    [[nodiscard]] virtual std::optional<double> perSecond(const EndpointLife &endpoint) const = 0;
+    [[nodiscard]] virtual std::optional<double>
+    perSecond(const EndpointIncarnation &endpoint) const = 0;
 };
 
 /// \brief The lowest rate that any of several sources names.
@@ -31,7 +32,8 @@
     /// \param sources outlive the object.
     explicit LowestRate(std::vector<const SendRates *> sources);
 
-    [[nodiscard]] std::optional<double> perSecond(const EndpointLife &endpoint) const override;
+    [[nodiscard]] std::optional<double>
+    perSecond(const EndpointIncarnation &endpoint) const override;
 
 private:
     std::vector<const SendRates *> sources_;
--- a/include/cardamombay/serving/servable.hpp
+++ b/include/cardamombay/serving/servable.hpp
@@ -13,7 +13,7 @@
 namespace cardamombay::serving {
 
 /// \brief What a request needs of the engines of a service.
-struct ServableDemand
+struct RequestNeeds
 {
     ModelName model_;
     std::size_t promptTokens_ = 0;
@@ -22,7 +22,7 @@
 
 /// \brief Why no group of \p service can serve the request, whatever its load; absent if one may.
 /// \returns a reason for the log and the caller. Plain services serve all requests.
-[[nodiscard]] std::optional<std::string_view> whyNotServable(const Service &service,
-                                                             const ServableDemand &demand);
+[[nodiscard]] std::optional<std::string_view> unservableReason(const Service &service,
+                                                               const RequestNeeds &demand);
 
 } // namespace cardamombay::serving
--- a/src/serving/balancer.cpp
+++ b/src/serving/balancer.cpp
@@ -49,10 +49,10 @@
 
 } // namespace
 
-Balancer::Balancer(const EndpointBook &book, const LoadBoard &board,
+Balancer::Balancer(const EndpointRegistry &book, const LoadTracker &board,
                    const net::UnusedConnections &connections, Random random)
-    : book_(book)
-    , board_(board)
+    : endpointRegistry_(book)
+    , loadTracker_(board)
     , connections_(connections)
     , random_(random)
 {
@@ -71,26 +71,26 @@
 }
 
 /// Unlike an endpoint that is only full or lost, one in an allowed region will not come by itself.
-bool Balancer::isOutOfRegion(const Demand &demand) const
+bool Balancer::isOutOfRegion(const RoutingRequest &request) const
 {
-    if (!demand.regions_.isBound())
+    if (!request.regions_.isBound())
         return false;
-    const auto endpoints = book_.ofService(demand.service_->name_);
+    const auto endpoints = endpointRegistry_.ofService(request.service_->name_);
     return std::none_of(endpoints.begin(), endpoints.end(), [&](const Endpoint *endpoint) {
-        return demand.regions_.allow(regionOf(*endpoint));
+        return request.regions_.allow(regionOf(*endpoint));
     });
 }
 
 std::vector<Balancer::Candidate> Balancer::derive(const Service &service) const
 {
     std::vector<Candidate> result;
-    const auto endpoints = book_.ofService(service.name_);
+    const auto endpoints = endpointRegistry_.ofService(service.name_);
     if (!service.engine_) {
         for (const auto *endpoint : endpoints) {
-            if (book_.takesRequests(*endpoint))
+            if (endpointRegistry_.takesRequests(*endpoint))
                 result.push_back({endpoint->id_,
                                   endpoint->address_,
-                                  endpoint->bornAt_,
+                                  endpoint->startedAt_,
                                   {},
                                   1,
                                   regionOf(*endpoint)});
@@ -101,9 +101,9 @@
         const auto *model = service.engine_->model(group.model_);
         // No group serves while any of its members is missing.
         if (model == nullptr || group.state() != MemberState::Open
-            || !group.isComplete(model->members_) || !book_.takesRequests(*group.head_))
+            || !group.isComplete(model->members_) || !endpointRegistry_.takesRequests(*group.head_))
             continue;
-        result.push_back({group.head_->id_, group.head_->address_, group.head_->bornAt_,
+        result.push_back({group.head_->id_, group.head_->address_, group.head_->startedAt_,
                           group.model_, group.isFar() ? service.engine_->farFactor_ : 1,
                           regionOf(*group.head_)});
     }
@@ -113,23 +113,23 @@
 const std::vector<Balancer::Candidate> &Balancer::candidatesOf(const Service &service)
 {
     auto &derived = derived_[service.name_];
-    if (derived.revision_ != book_.revision()) {
+    if (derived.revision_ != endpointRegistry_.revision()) {
         derived.candidates_ = derive(service);
-        derived.revision_ = book_.revision();
+        derived.revision_ = endpointRegistry_.revision();
     }
     return derived.candidates_;
 }
 
 bool Balancer::hasLeft(const VmId &endpoint) const
 {
-    const auto *known = book_.find(endpoint);
+    const auto *known = endpointRegistry_.find(endpoint);
     return known == nullptr || known->isDraining_;
 }
 
 bool Balancer::isEvacuated(const VmId &endpoint) const
 {
-    const auto *known = book_.find(endpoint);
-    return known != nullptr && book_.isEvacuated(*known);
+    const auto *known = endpointRegistry_.find(endpoint);
+    return known != nullptr && endpointRegistry_.isEvacuated(*known);
 }
 
 std::size_t Balancer::servingGroups(const Service &service, const ModelName &model)
@@ -140,55 +140,56 @@
                       [&model](const Candidate &one) { return one.model_ == model; }));
 }
 
-Balancer::Usable Balancer::usable(const Demand &demand, TimePoint now)
+Balancer::Usable Balancer::usable(const RoutingRequest &request, TimePoint now)
 {
     Usable result;
     std::vector<const Candidate *> avoided;
-    for (const auto &candidate : candidatesOf(*demand.service_)) {
-        if (demand.service_->engine_ && candidate.model_ != demand.model_)
+    for (const auto &candidate : candidatesOf(*request.service_)) {
+        if (request.service_->engine_ && candidate.model_ != request.model_)
             continue;
-        if (!demand.regions_.allow(candidate.region_))
+        if (!request.regions_.allow(candidate.region_))
             continue;
         const bool wasTried
-            = std::find(demand.tried_.begin(), demand.tried_.end(), candidate.endpoint_)
-              != demand.tried_.end();
-        if (wasTried || board_.hasCrashed(candidate.endpoint_, candidate.bornAt_))
+            = std::find(request.tried_.begin(), request.tried_.end(), candidate.endpoint_)
+              != request.tried_.end();
+        if (wasTried || loadTracker_.hasCrashed(candidate.endpoint_, candidate.startedAt_))
             continue;
-        const auto barred
-            = demand.gate_ == nullptr ? std::nullopt : demand.gate_->bar(candidate.life(), now);
+        const auto barred = request.gate_ == nullptr
+                                ? std::nullopt
+                                : request.gate_->sendBlock(candidate.incarnation(), now);
         if (barred) {
-            if (barred->reason_ == SendBar::Reason::Cooldown) {
+            if (barred->reason_ == SendBlock::Reason::Cooldown) {
                 ++result.cooling_;
                 result.soonestCooled_
                     = std::min(result.soonestCooled_.value_or(barred->left_), barred->left_);
             }
             continue;
         }
-        auto &list = board_.isUsable(candidate.endpoint_, now) ? result.candidates_ : avoided;
+        auto &list = loadTracker_.isUsable(candidate.endpoint_, now) ? result.candidates_ : avoided;
         list.push_back(&candidate);
     }
     // A plain endpoint that fails often still serves more than none. A request for a group waits
     // instead until one of the groups is tried again.
-    if (result.candidates_.empty() && !demand.service_->engine_)
+    if (result.candidates_.empty() && !request.service_->engine_)
         result.candidates_ = std::move(avoided);
     return result;
 }
 
 /// Tokens: the operators' figure, or else the mean of the prompts that came here.
-std::size_t Balancer::usualPrompt(const Demand &demand) const
+std::size_t Balancer::usualPrompt(const RoutingRequest &request) const
 {
-    const auto declared = demand.service_->engine_->usualPrompt_;
+    const auto declared = request.service_->engine_->usualPrompt_;
     if (declared > 0)
         return declared;
-    const auto seen = seenPrompts_.find(demand.service_->name_);
-    return seen == seenPrompts_.end() ? demand.promptTokens_
+    const auto seen = seenPrompts_.find(request.service_->name_);
+    return seen == seenPrompts_.end() ? request.promptTokens_
                                       : static_cast<std::size_t>(seen->second);
 }
 
-void Balancer::notePrompt(const Demand &demand)
+void Balancer::notePrompt(const RoutingRequest &request)
 {
-    const auto tokens = static_cast<double>(demand.promptTokens_);
-    const auto [seen, isFirst] = seenPrompts_.try_emplace(demand.service_->name_, tokens);
+    const auto tokens = static_cast<double>(request.promptTokens_);
+    const auto [seen, isFirst] = seenPrompts_.try_emplace(request.service_->name_, tokens);
     if (!isFirst)
         seen->second += (tokens - seen->second) * promptWeight;
 }
@@ -199,43 +200,45 @@
     const auto *model = profile.model(candidate.model_);
     const double rate
         = profile.readTokensPerSecond_ * readingShare / (model->pace_ * candidate.slowness_);
-    return fromSeconds(board_.unread(candidate.endpoint_, rate, now) / rate);
+    return fromSeconds(loadTracker_.pendingPromptTokens(candidate.endpoint_, rate, now) / rate);
 }
 
 /// Time to the first event if the request goes to the group now.
-Duration Balancer::timeToFirst(const Candidate &candidate, const Demand &demand,
+Duration Balancer::timeToFirst(const Candidate &candidate, const RoutingRequest &request,
                                TimePoint now) const
 {
-    const auto &profile = *demand.service_->engine_;
+    const auto &profile = *request.service_->engine_;
     const EngineModel model(profile, *profile.model(candidate.model_));
-    const auto pass
-        = model.pauseBetweenEvents(board_.total(candidate.endpoint_) + 1, model.usualContext());
+    const auto pass = model.pauseBetweenEvents(loadTracker_.totalRequests(candidate.endpoint_) + 1,
+                                               model.usualContext());
     // Large prompts are no reason to wait longer than small ones: all are weighed at the usual
     // size.
-    const auto own = model.readTime(std::min(demand.promptTokens_, usualPrompt(demand)));
+    const auto own = model.readTime(std::min(request.promptTokens_, usualPrompt(request)));
     const double work = toSeconds(pass) * passesToFirstEvent + toSeconds(own);
     return fromSeconds(work * candidate.slowness_) + backlog(candidate, profile, now);
 }
 
-bool Balancer::hasRoom(const Candidate &candidate, const Demand &demand, TimePoint now) const
+bool Balancer::hasRoom(const Candidate &candidate, const RoutingRequest &request,
+                       TimePoint now) const
 {
-    const auto &profile = *demand.service_->engine_;
-    const auto share = demand.hasBegun_ ? begunWaitingShare : waitingShare;
-    const auto limit = demand.isHeld_ ? profile.slots_ : withWaiting(profile.slots_, share);
-    if (board_.total(candidate.endpoint_) >= limit)
+    const auto &profile = *request.service_->engine_;
+    const auto share = request.hasPartialAnswer_ ? begunWaitingShare : waitingShare;
+    const auto limit = request.wasQueued_ ? profile.slots_ : withWaiting(profile.slots_, share);
+    if (loadTracker_.totalRequests(candidate.endpoint_) >= limit)
         return false;
-    if (demand.hasBegun_)
+    if (request.hasPartialAnswer_)
         return true;
-    const auto goal = toSeconds(demand.goal_);
-    if (demand.isHeld_)
+    const auto goal = toSeconds(request.goal_);
+    if (request.wasQueued_)
         return toSeconds(backlog(candidate, profile, now)) <= goal * heldBacklogShare;
-    return toSeconds(timeToFirst(candidate, demand, now)) <= goal * goalShare;
+    return toSeconds(timeToFirst(candidate, request, now)) <= goal * goalShare;
 }
 
 /// Time to the first event, and what a new connection is worth in such time.
-Duration Balancer::cost(const Candidate &candidate, const Demand &demand, TimePoint now) const
+Duration Balancer::cost(const Candidate &candidate, const RoutingRequest &request,
+                        TimePoint now) const
 {
-    const auto time = timeToFirst(candidate, demand, now);
+    const auto time = timeToFirst(candidate, request, now);
     return connections_.hasUnused(candidate.address_) ? time : time + newConnectionCost;
 }
 
@@ -259,13 +262,13 @@
 /// leads to. What is known of the peers' requests is a digest old; if many entry VMs took the very
 /// best, it would be overrun until the next one.
 const Balancer::Candidate *Balancer::soonest(std::vector<const Candidate *> candidates,
-                                             const Demand &demand, TimePoint now)
+                                             const RoutingRequest &request, TimePoint now)
 {
     std::erase_if(candidates,
-                  [&](const Candidate *candidate) { return !hasRoom(*candidate, demand, now); });
-    if (demand.suspect_)
-        return first(candidates, *demand.suspect_);
-    const auto entries = board_.peerCount() + 1;
+                  [&](const Candidate *candidate) { return !hasRoom(*candidate, request, now); });
+    if (request.suspect_)
+        return first(candidates, *request.suspect_);
+    const auto entries = loadTracker_.peerCount() + 1;
     const auto draws = std::max(leastDraws, candidates.size() * entriesThatSeeAll / entries);
     const Candidate *best = nullptr;
     Duration least{};
@@ -279,7 +282,7 @@
         if (drawn >= draws && !leadsThere)
             continue;
         isConnected = isConnected || leadsThere;
-        const auto weighed = cost(*candidate, demand, now);
+        const auto weighed = cost(*candidate, request, now);
         if (best == nullptr || weighed < least) {
             best = candidate;
             least = weighed;
@@ -294,7 +297,7 @@
     const Candidate *best = nullptr;
     double least = 0;
     for (const auto *candidate : candidates) {
-        const auto load = board_.total(candidate->endpoint_);
+        const auto load = loadTracker_.totalRequests(candidate->endpoint_);
         if (load >= limit)
             continue;
         const double connection = connections_.hasUnused(candidate->address_) ? 0 : 1;
@@ -308,13 +311,13 @@
 }
 
 const Balancer::Candidate *Balancer::best(const std::vector<const Candidate *> &candidates,
-                                          const Demand &demand, TimePoint now)
+                                          const RoutingRequest &request, TimePoint now)
 {
     if (candidates.empty())
         return nullptr;
-    if (demand.service_->engine_)
-        return soonest(candidates, demand, now);
-    const auto *endpoint = book_.find(candidates.front()->endpoint_);
+    if (request.service_->engine_)
+        return soonest(candidates, request, now);
+    const auto *endpoint = endpointRegistry_.find(candidates.front()->endpoint_);
     return leastLoaded(candidates, withWaiting(endpoint->slots_, plainWaitingShare));
 }
 
--- a/src/serving/cold_endpoints.cpp
+++ b/src/serving/cold_endpoints.cpp
@@ -53,18 +53,18 @@
 void ColdEndpoints::set(const Endpoint &endpoint, Duration time, std::string_view reason)
 {
     const auto now = clock_.now();
-    const auto life = endpoint.life();
-    if (!cold_.contains(life) && cold_.size() >= mostKept)
+    const auto incarnation = endpoint.incarnation();
+    if (!cold_.contains(incarnation) && cold_.size() >= mostKept)
         return;
-    const auto [place, isNew] = cold_.try_emplace(life);
+    const auto [place, isNew] = cold_.try_emplace(incarnation);
     auto &record = place->second;
     record.service_ = endpoint.service_;
     record.until_ = std::max(record.until_, now + std::min(time, longestCold));
     if (!isNew)
         return;
     metrics_.coldStarts_.increment();
-    const auto rate = perSecond(life);
-    log::info(event::endpointCold, {{"endpoint", life.text()},
+    const auto rate = perSecond(incarnation);
+    log::info(event::endpointCold, {{"endpoint", incarnation.text()},
                                     {"for-ms", std::to_string(toMilliseconds(time))},
                                     {"per-second", rate ? textOf(*rate) : "unbounded"},
                                     {"from", std::string(reason)}});
@@ -77,7 +77,7 @@
     metrics_.coldEndpoints_.set(static_cast<double>(cold_.size()));
 }
 
-std::optional<double> ColdEndpoints::perSecond(const EndpointLife &endpoint) const
+std::optional<double> ColdEndpoints::perSecond(const EndpointIncarnation &endpoint) const
 {
     const auto found = cold_.find(endpoint);
     if (found == cold_.end() || clock_.now() >= found->second.until_)
--- a/src/serving/crash_detector.cpp
+++ b/src/serving/crash_detector.cpp
@@ -62,7 +62,7 @@
 
 CrashDetector::~CrashDetector() = default;
 
-void CrashDetector::attemptBroke(const EndpointLife &endpoint, const Address &address,
+void CrashDetector::attemptBroke(const EndpointIncarnation &endpoint, const Address &address,
                                  RequestAtCrash request)
 {
     const auto [place, isNew] = cases_.try_emplace(endpoint);
@@ -76,7 +76,7 @@
         one.requests_.push_back(request);
 }
 
-void CrashDetector::endpointRestarted(const EndpointLife &endpoint)
+void CrashDetector::endpointRestarted(const EndpointIncarnation &endpoint)
 {
     const auto found = cases_.find(endpoint);
     if (found != cases_.end())
--- a/src/serving/digest_hub.cpp
+++ b/src/serving/digest_hub.cpp
@@ -45,7 +45,7 @@
     return {digest.from_, digest.address_, digest.zone_, digest.capacity_};
 }
 
-std::vector<LimitNews> aged(std::vector<LimitNews> limits, Duration by)
+std::vector<LimitUpdate> aged(std::vector<LimitUpdate> limits, Duration by)
 {
     for (auto &limit : limits)
         limit.age_ += by;
@@ -189,9 +189,9 @@
         addCounts(sum.heard_, last.heard_);
         addCounts(sum.demand_, last.demand_);
         addRepeats(sum.repeats_, last.repeats_);
-        mergeNews(sum.poison_, last.poison_);
-        mergeNews(sum.limits_, aged(last.limits_, now - source.heardAt_));
-        mergeNews(sum.cooldowns_, last.cooldowns_, now - source.heardAt_);
+        mergeUpdates(sum.poison_, last.poison_);
+        mergeUpdates(sum.limits_, aged(last.limits_, now - source.heardAt_));
+        mergeUpdates(sum.cooldowns_, last.cooldowns_, now - source.heardAt_);
         sum.silent_.insert(sum.silent_.end(), last.silent_.begin(), last.silent_.end());
         add(totals, source);
         if (last.relay_) {
--- a/src/serving/endpoint.cpp
+++ b/src/serving/endpoint.cpp
@@ -27,20 +27,20 @@
     return std::find(staged_.begin(), staged_.end(), model) != staged_.end();
 }
 
-std::string EndpointLife::text() const
+std::string EndpointIncarnation::text() const
 {
-    return bornAt_ == 0 ? id_.text() : id_.text() + "@" + std::to_string(bornAt_);
+    return startedAt_ == 0 ? id_.text() : id_.text() + "@" + std::to_string(startedAt_);
 }
 
-EndpointLife EndpointLife::parse(std::string_view text)
+EndpointIncarnation EndpointIncarnation::parse(std::string_view text)
 {
     const auto place = text.rfind('@');
     if (place == std::string_view::npos)
         return {VmId(text), 0};
-    EndpointLife result{VmId(text.substr(0, place)), 0};
+    EndpointIncarnation result{VmId(text.substr(0, place)), 0};
     const auto *end = text.data() + text.size();
-    const auto read = std::from_chars(text.data() + place + 1, end, result.bornAt_);
-    return read.ec == std::errc() && read.ptr == end ? result : EndpointLife{VmId(text), 0};
+    const auto read = std::from_chars(text.data() + place + 1, end, result.startedAt_);
+    return read.ec == std::errc() && read.ptr == end ? result : EndpointIncarnation{VmId(text), 0};
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/endpoint_gate.cpp
+++ b/src/serving/endpoint_gate.cpp
@@ -3,52 +3,57 @@
 namespace cardamombay::serving {
 
 EndpointGate::EndpointGate(const Balancer &balancer, EndpointNotices &notices,
-                           const ReservationDesk &reservations)
+                           const ReservationCoordinator &reservations)
     : balancer_(balancer)
     , notices_(notices)
     , reservations_(reservations)
 {
 }
 
-std::optional<SendBar> EndpointGate::bar(const EndpointLife &endpoint, TimePoint now) const
+std::optional<SendBlock> EndpointGate::sendBlock(const EndpointIncarnation &endpoint,
+                                                 TimePoint now) const
 {
     if (notices_.isLeaving(endpoint))
-        return SendBar{SendBar::Reason::Leaving, {}};
+        return SendBlock{SendBlock::Reason::Leaving, {}};
     if (const auto cooldown = notices_.cooldown(endpoint, now))
-        return SendBar{SendBar::Reason::Cooldown, cooldown->left(now)};
+        return SendBlock{SendBlock::Reason::Cooldown, cooldown->left(now)};
     return std::nullopt;
 }
 
-bool EndpointGate::isAdvisedAgainst(const EndpointLife &endpoint, TimePoint now) const
+bool EndpointGate::isDeprioritized(const EndpointIncarnation &endpoint, TimePoint now) const
 {
-    return notices_.isAdvisedAgainst(endpoint, now);
+    return notices_.isDeprioritized(endpoint, now);
 }
 
-bool EndpointGate::isLimited(const EndpointLife &endpoint) const
+bool EndpointGate::isLimited(const EndpointIncarnation &endpoint) const
 {
     return reservations_.isLimited(endpoint);
 }
 
-std::optional<Duration> EndpointGate::fullFor(const EndpointLife &endpoint, Duration wait) const
+std::optional<Duration> EndpointGate::timeUntilCapacity(const EndpointIncarnation &endpoint,
+                                                        Duration wait) const
 {
-    return reservations_.fullFor(endpoint, wait);
+    return reservations_.timeUntilCapacity(endpoint, wait);
 }
 
-LastLook EndpointGate::look(const EndpointLife &endpoint, bool isReserved, TimePoint now) const
+SendDecision EndpointGate::look(const EndpointIncarnation &endpoint, bool isReserved,
+                                TimePoint now) const
 {
     if (balancer_.hasLeft(endpoint.id_))
-        return LastLook::Leaving;
+        return SendDecision::Leaving;
     if (balancer_.isEvacuated(endpoint.id_))
-        return LastLook::Evacuated;
-    if (const auto barred = bar(endpoint, now))
-        return barred->reason_ == SendBar::Reason::Leaving ? LastLook::Leaving : LastLook::Cooldown;
-    return isReserved || !isLimited(endpoint) ? LastLook::Send : LastLook::Limited;
+        return SendDecision::Evacuated;
+    if (const auto barred = sendBlock(endpoint, now))
+        return barred->reason_ == SendBlock::Reason::Leaving ? SendDecision::Leaving
+                                                             : SendDecision::Cooldown;
+    return isReserved || !isLimited(endpoint) ? SendDecision::Send : SendDecision::Limited;
 }
 
-LastLook EndpointGate::lastLook(const EndpointLife &endpoint, bool isReserved, TimePoint now)
+SendDecision EndpointGate::checkSend(const EndpointIncarnation &endpoint, bool isReserved,
+                                     TimePoint now)
 {
     const auto result = look(endpoint, isReserved, now);
-    if (result != LastLook::Send)
+    if (result != SendDecision::Send)
         notices_.countWithheld(endpoint);
     return result;
 }
--- a/src/serving/endpoint_limits.cpp
+++ b/src/serving/endpoint_limits.cpp
@@ -32,7 +32,7 @@
 /// Endpoints whose unreadable limits are remembered as logged.
 constexpr std::size_t mostUnreadable = 256;
 
-void logLimit(const EndpointLife &endpoint, double before, const EndpointLimit &limit,
+void logLimit(const EndpointIncarnation &endpoint, double before, const EndpointLimit &limit,
               TimePoint now)
 {
     log::info(event::endpointLimited,
@@ -57,10 +57,10 @@
     return text;
 }
 
-void mergeNews(std::vector<LimitNews> &into, const std::vector<LimitNews> &from)
+void mergeUpdates(std::vector<LimitUpdate> &into, const std::vector<LimitUpdate> &from)
 {
     for (const auto &one : from) {
-        const auto known = std::find_if(into.begin(), into.end(), [&one](const LimitNews &other) {
+        const auto known = std::find_if(into.begin(), into.end(), [&one](const LimitUpdate &other) {
             return other.endpoint_ == one.endpoint_;
         });
         if (known == into.end())
@@ -70,12 +70,12 @@
     }
 }
 
-void EndpointLimits::stated(const EndpointLife &endpoint, double perSecond, TimePoint now)
+void EndpointLimits::stated(const EndpointIncarnation &endpoint, double perSecond, TimePoint now)
 {
     set(endpoint, perSecond, now, LimitSource::Answer, now);
 }
 
-void EndpointLimits::set(const EndpointLife &endpoint, double perSecond, TimePoint statedAt,
+void EndpointLimits::set(const EndpointIncarnation &endpoint, double perSecond, TimePoint statedAt,
                          LimitSource source, TimePoint now)
 {
     ended_.erase(endpoint);
@@ -91,14 +91,14 @@
         logLimit(endpoint, before, limit, now);
 }
 
-void EndpointLimits::notStated(const EndpointLife &endpoint, TimePoint sentAt, TimePoint now)
+void EndpointLimits::notStated(const EndpointIncarnation &endpoint, TimePoint sentAt, TimePoint now)
 {
     const auto found = limits_.find(endpoint);
     if (found != limits_.end() && found->second.statedAt_ < sentAt)
         end(endpoint, sentAt, LimitSource::Answer, now);
 }
 
-void EndpointLimits::end(const EndpointLife &endpoint, TimePoint at, LimitSource source,
+void EndpointLimits::end(const EndpointIncarnation &endpoint, TimePoint at, LimitSource source,
                          TimePoint now)
 {
     const auto node = limits_.extract(endpoint);
@@ -110,9 +110,9 @@
                {"from", std::string(nameOf(source))}});
 }
 
-void EndpointLimits::take(const std::vector<LimitNews> &news, TimePoint now)
+void EndpointLimits::take(const std::vector<LimitUpdate> &updates, TimePoint now)
 {
-    for (const auto &one : news) {
+    for (const auto &one : updates) {
         const auto at = now - one.age_;
         const auto known = limits_.find(one.endpoint_);
         const bool isOlder = known != limits_.end() && at - known->second.statedAt_ < sameWord;
@@ -127,10 +127,11 @@
     }
 }
 
-std::vector<LimitNews> EndpointLimits::news(TimePoint now,
-                                            const std::function<bool(const EndpointLife &)> &isTold)
+std::vector<LimitUpdate>
+EndpointLimits::updates(TimePoint now,
+                        const std::function<bool(const EndpointIncarnation &)> &isTold)
 {
-    std::vector<LimitNews> all;
+    std::vector<LimitUpdate> all;
     for (const auto &[endpoint, limit] : limits_) {
         const bool isFresh
             = limit.source_ == LimitSource::Answer && now - limit.statedAt_ < toldFor;
@@ -144,7 +145,7 @@
     if (all.size() <= mostTold)
         return all;
     // All of them in turn.
-    const auto next = std::find_if(all.begin(), all.end(), [this](const LimitNews &one) {
+    const auto next = std::find_if(all.begin(), all.end(), [this](const LimitUpdate &one) {
         return lastTold_ && *lastTold_ < one.endpoint_;
     });
     std::rotate(all.begin(), next == all.end() ? all.begin() : next, all.end());
@@ -169,7 +170,7 @@
     });
 }
 
-void EndpointLimits::unreadable(const EndpointLife &endpoint)
+void EndpointLimits::unreadable(const EndpointIncarnation &endpoint)
 {
     if (unreadable_.size() >= mostUnreadable || !unreadable_.insert(endpoint).second)
         return;
@@ -180,13 +181,13 @@
                   {"remedy", "the endpoint must name one decimal number"}});
 }
 
-std::optional<EndpointLimit> EndpointLimits::find(const EndpointLife &endpoint) const
+std::optional<EndpointLimit> EndpointLimits::find(const EndpointIncarnation &endpoint) const
 {
     const auto found = limits_.find(endpoint);
     return found == limits_.end() ? std::nullopt : std::optional(found->second);
 }
 
-std::optional<double> EndpointLimits::perSecond(const EndpointLife &endpoint) const
+std::optional<double> EndpointLimits::perSecond(const EndpointIncarnation &endpoint) const
 {
     const auto limit = find(endpoint);
     return limit ? std::optional(limit->perSecond_) : std::nullopt;
--- a/src/serving/endpoint_notices.cpp
+++ b/src/serving/endpoint_notices.cpp
@@ -37,7 +37,8 @@
 
 } // namespace
 
-void mergeNews(std::vector<CooldownNews> &into, const std::vector<CooldownNews> &from, Duration age)
+void mergeUpdates(std::vector<CooldownUpdate> &into, const std::vector<CooldownUpdate> &from,
+                  Duration age)
 {
     for (const auto &one : from) {
         const auto left = one.left_ - age;
@@ -118,7 +119,7 @@
                                             {"from", "answer"}});
 }
 
-void EndpointNotices::takeLeaving(const EndpointLife &endpoint, TimePoint now)
+void EndpointNotices::takeLeaving(const EndpointIncarnation &endpoint, TimePoint now)
 {
     if (!leaving_.contains(endpoint) && leaving_.size() >= mostKept)
         return;
@@ -129,9 +130,9 @@
         leavingSeen_(endpoint);
 }
 
-std::vector<CooldownNews> EndpointNotices::news(TimePoint now) const
+std::vector<CooldownUpdate> EndpointNotices::updates(TimePoint now) const
 {
-    std::vector<CooldownNews> result;
+    std::vector<CooldownUpdate> result;
     for (const auto &[endpoint, record] : cooldowns_) {
         const auto left = record.cooldown_.left(now);
         const bool isFresh = now - record.namedAt_ < toldFor;
@@ -141,9 +142,9 @@
     return result;
 }
 
-void EndpointNotices::take(const std::vector<CooldownNews> &news, TimePoint now)
+void EndpointNotices::take(const std::vector<CooldownUpdate> &updates, TimePoint now)
 {
-    for (const auto &one : news) {
+    for (const auto &one : updates) {
         const bool isKnown = advised_.contains(one.endpoint_);
         if (!isKnown && advised_.size() >= mostKept)
             continue;
@@ -156,7 +157,7 @@
     }
 }
 
-void EndpointNotices::countWithheld(const EndpointLife &endpoint)
+void EndpointNotices::countWithheld(const EndpointIncarnation &endpoint)
 {
     metrics_.withheldSends_.increment();
     const auto found = cooldowns_.find(endpoint);
@@ -164,7 +165,8 @@
         ++found->second.withheld_;
 }
 
-void EndpointNotices::end(const EndpointLife &endpoint, const Record &record, TimePoint now) const
+void EndpointNotices::end(const EndpointIncarnation &endpoint, const Record &record,
+                          TimePoint now) const
 {
     log::info(event::endpointCooldownEnded,
               {{"endpoint", endpoint.text()},
@@ -188,7 +190,8 @@
     std::erase_if(leaving_, [now](const auto &one) { return now - one.second > leavingKeptFor; });
 }
 
-std::optional<Cooldown> EndpointNotices::cooldown(const EndpointLife &endpoint, TimePoint now) const
+std::optional<Cooldown> EndpointNotices::cooldown(const EndpointIncarnation &endpoint,
+                                                  TimePoint now) const
 {
     const auto found = cooldowns_.find(endpoint);
     if (found == cooldowns_.end() || found->second.cooldown_.left(now) <= Duration::zero())
@@ -196,12 +199,12 @@
     return found->second.cooldown_;
 }
 
-bool EndpointNotices::isLeaving(const EndpointLife &endpoint) const
+bool EndpointNotices::isLeaving(const EndpointIncarnation &endpoint) const
 {
     return leaving_.contains(endpoint);
 }
 
-bool EndpointNotices::isAdvisedAgainst(const EndpointLife &endpoint, TimePoint now) const
+bool EndpointNotices::isDeprioritized(const EndpointIncarnation &endpoint, TimePoint now) const
 {
     const auto found = advised_.find(endpoint);
     return found != advised_.end() && found->second > now;
--- a/src/serving/endpoint_book.cpp
+++ b/src/serving/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/serving/endpoint_book.hpp>
+#include <cardamombay/serving/endpoint_registry.hpp>
 
 #include <utility>
 
@@ -25,17 +25,17 @@
 } // namespace
 
 /// True if the endpoint was known to leave, or to be gone, in the life that the entry is of.
-bool EndpointBook::isOlderThanLeaving(const Endpoint &endpoint) const
+bool EndpointRegistry::isOlderThanLeaving(const Endpoint &endpoint) const
 {
     if (endpoint.isDraining_)
         return false;
     if (const auto *known = find(endpoint.id_))
-        return known->isDraining_ && known->bornAt_ == endpoint.bornAt_;
+        return known->isDraining_ && known->startedAt_ == endpoint.startedAt_;
     const auto ended = ended_.find(endpoint.id_);
-    return ended != ended_.end() && ended->second.endpoint_.bornAt_ == endpoint.bornAt_;
+    return ended != ended_.end() && ended->second.endpoint_.startedAt_ == endpoint.startedAt_;
 }
 
-void EndpointBook::put(Endpoint endpoint)
+void EndpointRegistry::put(Endpoint endpoint)
 {
     heldBack_.erase(endpoint.id_);
     // It falls with each entry, and who waits for an order's effect would take that for it.
@@ -48,7 +48,7 @@
     take(std::move(endpoint));
 }
 
-void EndpointBook::take(Endpoint endpoint)
+void EndpointRegistry::take(Endpoint endpoint)
 {
     const auto id = endpoint.id_;
     const auto found = endpoints_.find(id);
@@ -58,13 +58,13 @@
         known = &found->second;
     else if (ended != ended_.end())
         known = &ended->second.endpoint_;
-    if (known != nullptr && endpoint.bornAt_ < known->bornAt_)
+    if (known != nullptr && endpoint.startedAt_ < known->startedAt_)
         return; // News of an earlier life.
     missing_.erase(id);
-    if (isKnownLeaving_ && isKnownLeaving_(endpoint.life()))
+    if (isKnownLeaving_ && isKnownLeaving_(endpoint.incarnation()))
         endpoint.isDraining_ = true;
     std::optional<Endpoint> earlier;
-    if (known != nullptr && endpoint.bornAt_ > known->bornAt_)
+    if (known != nullptr && endpoint.startedAt_ > known->startedAt_)
         earlier = *known;
     const bool isListed = found != endpoints_.end() && !earlier;
     keepLoadedModel(endpoint, isListed ? &found->second : nullptr);
@@ -77,16 +77,17 @@
         restarted_(*earlier);
 }
 
-void EndpointBook::markLeaving(const EndpointLife &endpoint)
+void EndpointRegistry::markLeaving(const EndpointIncarnation &endpoint)
 {
     const auto found = endpoints_.find(endpoint.id_);
-    if (found == endpoints_.end() || found->second.life() != endpoint || found->second.isDraining_)
+    if (found == endpoints_.end() || found->second.incarnation() != endpoint
+        || found->second.isDraining_)
         return;
     found->second.isDraining_ = true;
     ++revision_;
 }
 
-void EndpointBook::setEvacuated(std::set<AvailabilityZone> zones)
+void EndpointRegistry::setEvacuated(std::set<AvailabilityZone> zones)
 {
     if (zones == evacuated_)
         return;
@@ -94,7 +95,7 @@
     ++revision_;
 }
 
-void EndpointBook::remove(const VmId &id, TimePoint now)
+void EndpointRegistry::remove(const VmId &id, TimePoint now)
 {
     heldBack_.erase(id);
     if (!endpoints_.contains(id))
@@ -105,7 +106,7 @@
         drop(id, now);
 }
 
-void EndpointBook::drop(const VmId &id, TimePoint now)
+void EndpointRegistry::drop(const VmId &id, TimePoint now)
 {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end())
@@ -116,7 +117,7 @@
     ++revision_;
 }
 
-void EndpointBook::replaceAll(std::vector<Endpoint> endpoints, TimePoint now)
+void EndpointRegistry::replaceAll(std::vector<Endpoint> endpoints, TimePoint now)
 {
     std::set<VmId> listed;
     for (auto &endpoint : endpoints) {
@@ -132,7 +133,7 @@
         remove(id, now);
 }
 
-void EndpointBook::expire(TimePoint now)
+void EndpointRegistry::expire(TimePoint now)
 {
     std::vector<VmId> due;
     for (const auto &[id, until] : missing_) {
@@ -149,13 +150,13 @@
     std::erase_if(ended_, [now](const auto &one) { return now - one.second.at_ > endedKeptFor; });
 }
 
-const Endpoint *EndpointBook::find(const VmId &id) const
+const Endpoint *EndpointRegistry::find(const VmId &id) const
 {
     const auto found = endpoints_.find(id);
     return found == endpoints_.end() ? nullptr : &found->second;
 }
 
-std::vector<VmId> EndpointBook::ids() const
+std::vector<VmId> EndpointRegistry::ids() const
 {
     std::vector<VmId> result;
     for (const auto &[id, endpoint] : endpoints_)
@@ -163,7 +164,7 @@
     return result;
 }
 
-std::vector<const Endpoint *> EndpointBook::inZone(const AvailabilityZone &zone) const
+std::vector<const Endpoint *> EndpointRegistry::inZone(const AvailabilityZone &zone) const
 {
     std::vector<const Endpoint *> result;
     for (const auto &[id, endpoint] : endpoints_) {
@@ -173,7 +174,7 @@
     return result;
 }
 
-std::vector<const Endpoint *> EndpointBook::ofService(const ServiceName &service) const
+std::vector<const Endpoint *> EndpointRegistry::ofService(const ServiceName &service) const
 {
     std::vector<const Endpoint *> result;
     for (const auto &[id, endpoint] : endpoints_) {
--- a/src/serving/gated_orders.cpp
+++ b/src/serving/gated_orders.cpp
@@ -9,7 +9,7 @@
     , orders_(orders)
     , notices_(notices)
 {
-    orders_.onNotices([this](const EndpointLife &engine, const AnswerNotices &told) {
+    orders_.onNotices([this](const EndpointIncarnation &engine, const AnswerNotices &told) {
         const auto now = clock_.now();
         notices_.take({engine, now, true}, told, now);
     });
@@ -18,10 +18,10 @@
 std::optional<Duration> GatedOrders::withheldFor(const Endpoint &engine)
 {
     const auto now = clock_.now();
-    const auto cooldown = notices_.cooldown(engine.life(), now);
+    const auto cooldown = notices_.cooldown(engine.incarnation(), now);
     if (!cooldown)
         return std::nullopt;
-    notices_.countWithheld(engine.life());
+    notices_.countWithheld(engine.incarnation());
     return cooldown->left(now);
 }
 
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -111,7 +111,7 @@
 
 void Gateway::attemptBroke(const Target &target, RequestAtCrash request)
 {
-    crashDetector_.attemptBroke(target.life(), target.address_, request);
+    crashDetector_.attemptBroke(target.incarnation(), target.address_, request);
 }
 
 bool Gateway::blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint)
@@ -135,7 +135,7 @@
                                           {"under-way", std::to_string(crash.requests_.size())},
                                           {"had-events", std::to_string(begun)},
                                           {"without-events", waiting}});
-    parts_.board_.crashed(crash.endpoint_, parts_.clock_.now());
+    parts_.loadTracker_.crashed(crash.endpoint_, parts_.clock_.now());
     poisonPills_.endpointCrashed(crash, parts_.clock_.now());
     if (crashSeen_)
         crashSeen_();
@@ -145,7 +145,7 @@
 {
     const auto now = parts_.clock_.now();
     for (const auto &[endpoint, requests] : news.crashes_)
-        parts_.board_.crashed(endpoint, now);
+        parts_.loadTracker_.crashed(endpoint, now);
     poisonPills_.take(news, now);
 }
 
@@ -190,10 +190,10 @@
         session->cut();
 }
 
-void Gateway::endpointRestarted(const EndpointLife &endpoint, const Address &address)
+void Gateway::endpointRestarted(const EndpointIncarnation &endpoint, const Address &address)
 {
     parts_.upstream_.dropUnused(address);
-    parts_.board_.restarted(endpoint.id_);
+    parts_.loadTracker_.restarted(endpoint.id_);
     const auto sessions = sessions_;
     for (const auto &[key, session] : sessions)
         session->endpointRestarted(endpoint.id_);
--- a/src/serving/load_board.cpp
+++ b/src/serving/load_tracker.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 
 #include <algorithm>
 
@@ -38,7 +38,7 @@
 
 } // namespace
 
-void LoadBoard::started(const VmId &endpoint, std::size_t promptTokens, TimePoint now)
+void LoadTracker::started(const VmId &endpoint, std::size_t promptTokens, TimePoint now)
 {
     auto &entry = entries_[endpoint];
     if (entry.failures_ >= 1)
@@ -49,7 +49,7 @@
     addUnread(entry, static_cast<double>(promptTokens), now);
 }
 
-void LoadBoard::progressed(const VmId &endpoint, TimePoint now)
+void LoadTracker::progressed(const VmId &endpoint, TimePoint now)
 {
     auto &entry = entries_[endpoint];
     entry.heardAt_ = now;
@@ -58,7 +58,7 @@
     entry.avoidUntil_ = {};
 }
 
-void LoadBoard::ended(const VmId &endpoint)
+void LoadTracker::ended(const VmId &endpoint)
 {
     auto &entry = entries_[endpoint];
     if (entry.own_ > 0)
@@ -66,14 +66,14 @@
     entry.isOnTrial_ = entry.isOnTrial_ && entry.own_ > 0;
 }
 
-void LoadBoard::succeeded(const VmId &endpoint)
+void LoadTracker::succeeded(const VmId &endpoint)
 {
     auto &entry = entries_[endpoint];
     entry.failures_ = std::max(0.0, entry.failures_ - successShare);
     entry.errorRate_ *= 1 - successWeight;
 }
 
-void LoadBoard::erred(const VmId &endpoint, double weight, TimePoint now)
+void LoadTracker::erred(const VmId &endpoint, double weight, TimePoint now)
 {
     auto &rate = entries_[endpoint].errorRate_;
     rate += (1 - rate) * weight;
@@ -81,7 +81,7 @@
         failed(endpoint, now);
 }
 
-void LoadBoard::failed(const VmId &endpoint, TimePoint now)
+void LoadTracker::failed(const VmId &endpoint, TimePoint now)
 {
     auto &entry = entries_[endpoint];
     // Requests that were there together fail together; that is one failure.
@@ -93,24 +93,24 @@
     entry.failures_ += 1;
 }
 
-void LoadBoard::stalled(const VmId &endpoint, TimePoint now)
+void LoadTracker::stalled(const VmId &endpoint, TimePoint now)
 {
     failed(endpoint, now);
     entries_[endpoint].isSilent_ = true;
 }
 
-void LoadBoard::crashed(const EndpointLife &endpoint, TimePoint now)
+void LoadTracker::crashed(const EndpointIncarnation &endpoint, TimePoint now)
 {
-    crashed_.insert_or_assign(endpoint.id_, Crash{endpoint.bornAt_, now});
+    crashed_.insert_or_assign(endpoint.id_, Crash{endpoint.startedAt_, now});
 }
 
-bool LoadBoard::hasCrashed(const VmId &endpoint, std::uint64_t bornAt) const
+bool LoadTracker::hasCrashed(const VmId &endpoint, std::uint64_t bornAt) const
 {
     const auto found = crashed_.find(endpoint);
-    return found != crashed_.end() && found->second.bornAt_ == bornAt;
+    return found != crashed_.end() && found->second.startedAt_ == bornAt;
 }
 
-void LoadBoard::restarted(const VmId &endpoint)
+void LoadTracker::restarted(const VmId &endpoint)
 {
     const auto found = entries_.find(endpoint);
     if (found == entries_.end())
@@ -124,14 +124,14 @@
 }
 
 /// What the endpoint has read since the last look is taken off first.
-void LoadBoard::addUnread(Entry &entry, double tokens, TimePoint now)
+void LoadTracker::addUnread(Entry &entry, double tokens, TimePoint now)
 {
     const double read = toSeconds(now - entry.unreadAt_) * entry.readRate_;
     entry.unread_ = std::max(0.0, entry.unread_ - read) + tokens;
     entry.unreadAt_ = now;
 }
 
-void LoadBoard::setPeerLoad(const std::string &peer, PeerLoad load)
+void LoadTracker::setPeerLoad(const std::string &peer, PeerLoad load)
 {
     auto &known = peers_[peer];
     for (const auto &[endpoint, tokens] : load.sent_) {
@@ -146,7 +146,7 @@
     known = std::move(load);
 }
 
-void LoadBoard::expire(TimePoint now)
+void LoadTracker::expire(TimePoint now)
 {
     std::erase_if(peers_, [now](const auto &one) { return now - one.second.at_ > peerLifetime; });
     std::erase_if(crashed_,
@@ -157,15 +157,15 @@
     });
 }
 
-std::size_t LoadBoard::own(const VmId &endpoint) const
+std::size_t LoadTracker::ownRequests(const VmId &endpoint) const
 {
     const auto found = entries_.find(endpoint);
     return found == entries_.end() ? 0 : found->second.own_;
 }
 
-std::size_t LoadBoard::total(const VmId &endpoint) const
+std::size_t LoadTracker::totalRequests(const VmId &endpoint) const
 {
-    std::size_t result = own(endpoint);
+    std::size_t result = ownRequests(endpoint);
     for (const auto &[name, peer] : peers_) {
         const auto found = peer.counts_.find(endpoint);
         if (found != peer.counts_.end())
@@ -174,7 +174,7 @@
     return result;
 }
 
-std::size_t LoadBoard::peerCount() const
+std::size_t LoadTracker::peerCount() const
 {
     std::size_t result = 0;
     for (const auto &[name, peer] : peers_)
@@ -182,7 +182,8 @@
     return result;
 }
 
-double LoadBoard::unread(const VmId &endpoint, double tokensPerSecond, TimePoint now) const
+double LoadTracker::pendingPromptTokens(const VmId &endpoint, double tokensPerSecond,
+                                        TimePoint now) const
 {
     const auto found = entries_.find(endpoint);
     if (found == entries_.end())
@@ -192,7 +193,7 @@
     return found->second.unread_;
 }
 
-std::unordered_map<VmId, std::size_t> LoadBoard::ownSent(TimePoint now) const
+std::unordered_map<VmId, std::size_t> LoadTracker::ownSentTokens(TimePoint now) const
 {
     std::unordered_map<VmId, std::size_t> result;
     for (const auto &[id, entry] : entries_) {
@@ -202,7 +203,7 @@
     return result;
 }
 
-std::vector<VmId> LoadBoard::silentHere() const
+std::vector<VmId> LoadTracker::locallyStalled() const
 {
     std::vector<VmId> result;
     for (const auto &[id, entry] : entries_) {
@@ -215,9 +216,9 @@
 /// A cut between some entry VMs and an endpoint looks there as if it stood still. Of 130 engines
 /// that 30 in 100 entry VMs could not reach, the groups were given up though they served all
 /// others.
-std::vector<VmId> LoadBoard::silentEverywhere(TimePoint now) const
+std::vector<VmId> LoadTracker::stalledEverywhere(TimePoint now) const
 {
-    auto result = silentHere();
+    auto result = locallyStalled();
     for (const auto &[name, peer] : peers_)
         result.insert(result.end(), peer.silent_.begin(), peer.silent_.end());
     std::sort(result.begin(), result.end());
@@ -226,17 +227,17 @@
     return result;
 }
 
-bool LoadBoard::isHeard(const VmId &endpoint, TimePoint now) const
+bool LoadTracker::isHeard(const VmId &endpoint, TimePoint now) const
 {
-    const auto own = entries_.find(endpoint);
-    if (own != entries_.end() && now - own->second.heardAt_ < heardWithin)
+    const auto local = entries_.find(endpoint);
+    if (local != entries_.end() && now - local->second.heardAt_ < heardWithin)
         return true;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto &one) {
         return now - one.second.at_ < freshNews && one.second.heard_.contains(endpoint);
     });
 }
 
-std::unordered_map<VmId, std::size_t> LoadBoard::heardHere(TimePoint now) const
+std::unordered_map<VmId, std::size_t> LoadTracker::locallyActive(TimePoint now) const
 {
     std::unordered_map<VmId, std::size_t> result;
     for (const auto &[id, entry] : entries_) {
@@ -246,7 +247,7 @@
     return result;
 }
 
-bool LoadBoard::isUsable(const VmId &endpoint, TimePoint now) const
+bool LoadTracker::isUsable(const VmId &endpoint, TimePoint now) const
 {
     const auto found = entries_.find(endpoint);
     if (found == entries_.end())
@@ -254,13 +255,13 @@
     return now >= found->second.avoidUntil_ && !found->second.isOnTrial_;
 }
 
-TimePoint LoadBoard::heardAt(const VmId &endpoint) const
+TimePoint LoadTracker::lastProgressAt(const VmId &endpoint) const
 {
     const auto found = entries_.find(endpoint);
     return found == entries_.end() ? TimePoint{} : found->second.heardAt_;
 }
 
-std::unordered_map<VmId, std::size_t> LoadBoard::ownCounts() const
+std::unordered_map<VmId, std::size_t> LoadTracker::ownRequestCounts() const
 {
     std::unordered_map<VmId, std::size_t> result;
     for (const auto &[id, entry] : entries_) {
--- a/src/serving/node.cpp
+++ b/src/serving/node.cpp
@@ -65,8 +65,8 @@
 
 Node::~Node()
 {
-    parts_.book_.onRestarted({});
-    parts_.book_.setKnownLeaving({});
+    parts_.endpointRegistry_.onRestarted({});
+    parts_.endpointRegistry_.setLeavingCheck({});
     parts_.gateway_.notices().onLeaving({});
     parts_.gateway_.onEndpointCrash({});
     parts_.gateway_.reservations().onSend({});
@@ -75,11 +75,14 @@
 void Node::start()
 {
     parts_.datagrams_.onReceived([this](std::string_view text) { datagramArrived(text); });
-    parts_.book_.onRestarted([this](const Endpoint &before) { endpointRestarted(before); });
+    parts_.endpointRegistry_.onRestarted(
+        [this](const Endpoint &before) { endpointRestarted(before); });
     auto &notices = parts_.gateway_.notices();
-    notices.onLeaving([this](const EndpointLife &endpoint) { parts_.book_.markLeaving(endpoint); });
-    parts_.book_.setKnownLeaving(
-        [&notices](const EndpointLife &endpoint) { return notices.isLeaving(endpoint); });
+    notices.onLeaving([this](const EndpointIncarnation &endpoint) {
+        parts_.endpointRegistry_.markLeaving(endpoint);
+    });
+    parts_.endpointRegistry_.setLeavingCheck(
+        [&notices](const EndpointIncarnation &endpoint) { return notices.isLeaving(endpoint); });
     startedAt_ = parts_.clock_.now();
     storeAnsweredAt_ = startedAt_;
     noteLearning();
@@ -328,7 +331,7 @@
         return;
     log::info(event::absenceExcused, {{"gap-ms", std::to_string(toMilliseconds(gap))},
                                       {"for-ms", std::to_string(toMilliseconds(absenceGrace))}});
-    parts_.book_.excuseAbsence(asOf + absenceGrace);
+    parts_.endpointRegistry_.tolerateAbsence(asOf + absenceGrace);
 }
 
 void Node::tickFast()
@@ -385,8 +388,8 @@
 void Node::tickPlan()
 {
     const auto now = parts_.clock_.now();
-    parts_.book_.expire(now);
-    parts_.board_.expire(now);
+    parts_.endpointRegistry_.expire(now);
+    parts_.loadTracker_.expire(now);
     clocks_.expire(now);
     noteOldView(now);
     logEndpoints(now);
--- a/src/serving/node_endpoints.cpp
+++ b/src/serving/node_endpoints.cpp
@@ -47,7 +47,7 @@
             history_.add({endpoint->id_, row.version_, endpoint}, now);
         endpoints.push_back(*std::move(endpoint));
     }
-    for (const auto &id : parts_.book_.ids()) {
+    for (const auto &id : parts_.endpointRegistry_.ids()) {
         if (listed.contains(id))
             continue;
         const EndpointChange end{id, version, std::nullopt};
@@ -57,7 +57,7 @@
     log::info(event::endpointListed, {{"count", std::to_string(endpoints.size())},
                                       {"version", std::to_string(version.value())},
                                       {"before", std::to_string(listedVersion_.value())}});
-    parts_.book_.replaceAll(std::move(endpoints), now);
+    parts_.endpointRegistry_.replaceAll(std::move(endpoints), now);
     listedVersion_ = version;
     areEndpointsListed_ = true;
     noteLearning();
@@ -68,8 +68,8 @@
 /// entry.
 void Node::keepWhatIsNewer(Endpoint &endpoint) const
 {
-    const auto *known = parts_.book_.find(endpoint.id_);
-    if (known == nullptr || known->bornAt_ != endpoint.bornAt_)
+    const auto *known = parts_.endpointRegistry_.find(endpoint.id_);
+    if (known == nullptr || known->startedAt_ != endpoint.startedAt_)
         return;
     const bool isDraining = known->isDraining_ || endpoint.isDraining_;
     endpoint = *known;
@@ -123,8 +123,8 @@
 {
     if (rank_ || parts_.lease_.isHeld())
         log::info(event::endpointRestarted, {{"endpoint", before.id_.text()},
-                                             {"born-before", std::to_string(before.bornAt_)}});
-    parts_.gateway_.endpointRestarted(before.life(), before.address_);
+                                             {"born-before", std::to_string(before.startedAt_)}});
+    parts_.gateway_.endpointRestarted(before.incarnation(), before.address_);
 }
 
 Duration Node::viewAge() const
@@ -136,7 +136,7 @@
 /// had acknowledged that `view-age-ms` before, at the most.
 void Node::logLeaving(const EndpointChange &change, std::string_view source) const
 {
-    const auto *known = parts_.book_.find(change.id_);
+    const auto *known = parts_.endpointRegistry_.find(change.id_);
     const bool isLeaving = !change.endpoint_ || change.endpoint_->isDraining_;
     if (known == nullptr || known->isDraining_ || !isLeaving)
         return;
@@ -161,13 +161,13 @@
         ++goneCount_;
         if (rank_ || parts_.lease_.isHeld())
             log::info(event::endpointGone, {{"endpoint", change.id_.text()}, {"version", version}});
-        parts_.book_.remove(change.id_, now);
+        parts_.endpointRegistry_.remove(change.id_, now);
         return;
     }
     const auto &endpoint = *change.endpoint_;
     ++listedCount_;
     parts_.gateway_.coldEndpoints().listed(endpoint);
-    if (isWorthLogging(parts_.book_.find(change.id_), endpoint)) {
+    if (isWorthLogging(parts_.endpointRegistry_.find(change.id_), endpoint)) {
         const auto &membership = endpoint.membership_;
         log::info(event::endpointListed,
                   {{"endpoint", change.id_.text()},
@@ -179,7 +179,7 @@
                    {"state", membership ? std::string(nameOf(membership->state_)) : ""},
                    {"version", version}});
     }
-    parts_.book_.put(endpoint);
+    parts_.endpointRegistry_.put(endpoint);
 }
 
 void Node::logEndpoints(TimePoint now)
--- a/src/serving/node_evacuations.cpp
+++ b/src/serving/node_evacuations.cpp
@@ -56,7 +56,7 @@
 void Node::evacuationsChanged(const std::set<AvailabilityZone> &before, std::string_view source)
 {
     const auto &zones = evacuations_.zones();
-    parts_.book_.setEvacuated(zones);
+    parts_.endpointRegistry_.setEvacuated(zones);
     parts_.gateway_.countEvacuated(zones.size());
     for (const auto &zone : zones) {
         if (!before.contains(zone))
@@ -72,7 +72,7 @@
 {
     log::info(event::zoneEvacuated,
               {{"zone", zone.text()},
-               {"endpoints", std::to_string(parts_.book_.inZone(zone).size())},
+               {"endpoints", std::to_string(parts_.endpointRegistry_.inZone(zone).size())},
                {"heard-from", std::string(source)},
                {"version", std::to_string(evacuations_.state().version_.value())}});
 }
@@ -80,7 +80,7 @@
 /// Endpoints may have become cold while they got nothing, and their entries say so later.
 void Node::zoneReturned(const AvailabilityZone &zone, std::string_view source)
 {
-    const auto endpoints = parts_.book_.inZone(zone);
+    const auto endpoints = parts_.endpointRegistry_.inZone(zone);
     log::info(event::zoneReturned,
               {{"zone", zone.text()},
                {"endpoints", std::to_string(endpoints.size())},
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -66,17 +66,19 @@
     digest.zone_ = settings_.zone_;
     digest.capacity_ = settings_.capacity();
     digest.stamp_ = {settings_.incarnation_, readingOf(now)};
-    digest.underWay_ = parts_.board_.ownCounts();
-    digest.sent_ = parts_.board_.ownSent(now);
-    digest.silent_ = parts_.board_.silentHere();
-    digest.heard_ = parts_.board_.heardHere(now);
+    digest.underWay_ = parts_.loadTracker_.ownRequestCounts();
+    digest.sent_ = parts_.loadTracker_.ownSentTokens(now);
+    digest.silent_ = parts_.loadTracker_.locallyStalled();
+    digest.heard_ = parts_.loadTracker_.locallyActive(now);
     digest.demand_ = ownDemand_;
     digest.repeats_ = parts_.gateway_.repeatCounts(now);
     digest.poison_ = parts_.gateway_.poisonPills().news(now);
     auto &reservations = parts_.gateway_.reservations();
-    digest.limits_ = parts_.gateway_.limits().news(
-        now, [&reservations](const EndpointLife &endpoint) { return reservations.owns(endpoint); });
-    digest.cooldowns_ = parts_.gateway_.notices().news(now);
+    digest.limits_ = parts_.gateway_.limits().updates(
+        now, [&reservations](const EndpointIncarnation &endpoint) {
+            return reservations.owns(endpoint);
+        });
+    digest.cooldowns_ = parts_.gateway_.notices().updates(now);
     digest.endpoints_ = endpointWatch_.version();
     digest.isDraining_ = isLeaving_;
     if (isWatching_ && areEndpointsListed_)
@@ -124,7 +126,7 @@
     hasReporters_ = isNeeded;
     reportsSince_ = parts_.clock_.now();
     setBudget(isNeeded);
-    parts_.board_.forgetPeers();
+    parts_.loadTracker_.forgetPeers();
     sums_.clear();
     for (auto &[entry, peer] : peers_) {
         peer.demand_.clear();
@@ -202,9 +204,9 @@
 void Node::takeLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now)
 {
     sums_[from] = {std::move(sum.demand_), std::move(sum.repeats_), now};
-    parts_.board_.setPeerLoad(from.text(),
-                              {std::move(sum.underWay_), std::move(sum.sent_),
-                               std::move(sum.silent_), now, entries, std::move(sum.heard_)});
+    parts_.loadTracker_.setPeerLoad(from.text(),
+                                    {std::move(sum.underWay_), std::move(sum.sent_),
+                                     std::move(sum.silent_), now, entries, std::move(sum.heard_)});
 }
 
 std::size_t Node::entriesIn(const AvailabilityZone &zone) const
@@ -307,16 +309,16 @@
     auto &peer = peers_[digest.from_];
     peer.demand_ = std::move(digest.demand_);
     peer.repeats_ = std::move(digest.repeats_);
-    parts_.board_.setPeerLoad(digest.from_.text(),
-                              {std::move(digest.underWay_), std::move(digest.sent_),
-                               std::move(digest.silent_), now, 1, std::move(digest.heard_)});
+    parts_.loadTracker_.setPeerLoad(digest.from_.text(),
+                                    {std::move(digest.underWay_), std::move(digest.sent_),
+                                     std::move(digest.silent_), now, 1, std::move(digest.heard_)});
 }
 
 /// A lost engine holds up all streams of its group, so the planner is told at once; by digests it
 /// would know 0.2 s later.
 void Node::tellSilence()
 {
-    auto silent = parts_.board_.silentHere();
+    auto silent = parts_.loadTracker_.locallyStalled();
     std::sort(silent.begin(), silent.end());
     const bool isNew
         = !std::includes(alarmed_.begin(), alarmed_.end(), silent.begin(), silent.end());
@@ -341,11 +343,11 @@
 /// Holds until the digests or sums of the same entry VM have told it too.
 void Node::alarmArrived(const SilenceAlarm &alarm)
 {
-    LoadBoard::PeerLoad load;
+    LoadTracker::PeerLoad load;
     load.silent_ = alarm.silent_;
     load.at_ = parts_.clock_.now();
     load.entries_ = 0;
-    parts_.board_.setPeerLoad("alarm of " + alarm.from_.text(), std::move(load));
+    parts_.loadTracker_.setPeerLoad("alarm of " + alarm.from_.text(), std::move(load));
     tickPlan();
 }
 
--- a/src/serving/node_quarantines.cpp
+++ b/src/serving/node_quarantines.cpp
@@ -18,7 +18,7 @@
 /// Between two looks of the planner at what operators have lifted; a call each.
 constexpr Duration liftedPeriod = std::chrono::seconds(30);
 
-std::string textOf(const std::vector<EndpointLife> &endpoints)
+std::string textOf(const std::vector<EndpointIncarnation> &endpoints)
 {
     std::string result = "ended:";
     for (const auto &endpoint : endpoints)
--- a/src/serving/node_restores.cpp
+++ b/src/serving/node_restores.cpp
@@ -65,8 +65,8 @@
     const auto now = parts_.clock_.now();
     settledAt_ = now + settleTime;
     parts_.gateway_.countStoreRestore();
-    parts_.book_.excuseAbsence(now + absenceGrace);
-    parts_.book_.holdLeaving(now + leavingHeld);
+    parts_.endpointRegistry_.tolerateAbsence(now + absenceGrace);
+    parts_.endpointRegistry_.keepLeaving(now + leavingHeld);
     keptQuarantines_.clear();
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
         if (watch->isListed() && watch->version().timeline() < *timeline_)
@@ -77,7 +77,7 @@
         {{"timeline", std::to_string(timeline_->value())},
          {"before", std::to_string(before.value())},
          {"seen-by", std::string(source)},
-         {"endpoints", std::to_string(parts_.book_.size())},
+         {"endpoints", std::to_string(parts_.endpointRegistry_.size())},
          {"quarantines", std::to_string(parts_.gateway_.poisonPills().quarantined(now).size())},
          {"settles-in-ms", std::to_string(toMilliseconds(settleTime))}});
     // The others hear of it at once.
--- a/src/serving/notice_json.cpp
+++ b/src/serving/notice_json.cpp
@@ -18,7 +18,7 @@
 /// Microseconds.
 constexpr std::uint64_t longestCooldownTold = 3'600'000'000;
 
-std::optional<LimitNews> limitIn(const json::value &value)
+std::optional<LimitUpdate> limitIn(const json::value &value)
 {
     const auto *parts = value.if_array();
     if (parts == nullptr || parts->size() < 2 || !parts->at(0).is_string())
@@ -27,11 +27,11 @@
     const auto rate = parts->size() > 2 ? figureIn(parts->at(2)) : std::nullopt;
     if (!age || *age > longestLimitAge || (parts->size() > 2 && !rate))
         return std::nullopt;
-    return LimitNews{EndpointLife::parse(textOf(parts->at(0).get_string())), rate,
-                     std::chrono::microseconds(*age)};
+    return LimitUpdate{EndpointIncarnation::parse(textOf(parts->at(0).get_string())), rate,
+                       std::chrono::microseconds(*age)};
 }
 
-std::optional<CooldownNews> cooldownIn(const json::value &value)
+std::optional<CooldownUpdate> cooldownIn(const json::value &value)
 {
     const auto *parts = value.if_array();
     if (parts == nullptr || parts->size() < 2 || !parts->at(0).is_string())
@@ -39,8 +39,8 @@
     const auto left = countIn(parts->at(1));
     if (!left || *left > longestCooldownTold)
         return std::nullopt;
-    return CooldownNews{EndpointLife::parse(textOf(parts->at(0).get_string())),
-                        std::chrono::microseconds(*left)};
+    return CooldownUpdate{EndpointIncarnation::parse(textOf(parts->at(0).get_string())),
+                          std::chrono::microseconds(*left)};
 }
 
 } // namespace
@@ -72,7 +72,7 @@
 }
 
 /// Endpoint, age and rate; an ended limit has no rate.
-json::array limitsArray(const std::vector<LimitNews> &limits)
+json::array limitsArray(const std::vector<LimitUpdate> &limits)
 {
     json::array result;
     for (const auto &limit : limits) {
@@ -84,9 +84,9 @@
     return result;
 }
 
-std::vector<LimitNews> limitsIn(const json::value *value)
+std::vector<LimitUpdate> limitsIn(const json::value *value)
 {
-    std::vector<LimitNews> result;
+    std::vector<LimitUpdate> result;
     const auto *all = value == nullptr ? nullptr : value->if_array();
     if (all == nullptr)
         return result;
@@ -98,7 +98,7 @@
 }
 
 /// Endpoint and time that is left.
-json::array cooldownsArray(const std::vector<CooldownNews> &cooldowns)
+json::array cooldownsArray(const std::vector<CooldownUpdate> &cooldowns)
 {
     json::array result;
     for (const auto &one : cooldowns)
@@ -106,9 +106,9 @@
     return result;
 }
 
-std::vector<CooldownNews> cooldownsIn(const json::value *value)
+std::vector<CooldownUpdate> cooldownsIn(const json::value *value)
 {
-    std::vector<CooldownNews> result;
+    std::vector<CooldownUpdate> result;
     const auto *all = value == nullptr ? nullptr : value->if_array();
     if (all == nullptr)
         return result;
--- a/src/serving/notice_json.hpp
+++ b/src/serving/notice_json.hpp
@@ -15,10 +15,10 @@
 [[nodiscard]] boost::json::array evacuationsArray(const EvacuationState &evacuations);
 [[nodiscard]] EvacuationState evacuationsIn(const boost::json::value *value);
 
-[[nodiscard]] boost::json::array limitsArray(const std::vector<LimitNews> &limits);
-[[nodiscard]] std::vector<LimitNews> limitsIn(const boost::json::value *value);
+[[nodiscard]] boost::json::array limitsArray(const std::vector<LimitUpdate> &limits);
+[[nodiscard]] std::vector<LimitUpdate> limitsIn(const boost::json::value *value);
 
-[[nodiscard]] boost::json::array cooldownsArray(const std::vector<CooldownNews> &cooldowns);
-[[nodiscard]] std::vector<CooldownNews> cooldownsIn(const boost::json::value *value);
+[[nodiscard]] boost::json::array cooldownsArray(const std::vector<CooldownUpdate> &cooldowns);
+[[nodiscard]] std::vector<CooldownUpdate> cooldownsIn(const boost::json::value *value);
 
 } // namespace cardamombay::serving::impl
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -256,7 +256,7 @@
     entry.emplace_back(membership.epoch_);
     entry.emplace_back(membership.rank_);
     entry.emplace_back(static_cast<int>(membership.state_));
-    entry.emplace_back(endpoint.bornAt_);
+    entry.emplace_back(endpoint.startedAt_);
     if (endpoint.coldFor_ > Duration::zero())
         entry.emplace_back(microsecondsOf(endpoint.coldFor_));
     return entry;
@@ -288,7 +288,7 @@
     endpoint.model_ = idAt<ModelName>(entry, ModelPart);
     for (const auto &model : entry.at(StagedPart).as_array())
         endpoint.staged_.emplace_back(textOf(model.as_string()));
-    endpoint.bornAt_ = numberAt<std::uint64_t>(entry, BornPart);
+    endpoint.startedAt_ = numberAt<std::uint64_t>(entry, BornPart);
     if (entry.size() == ColdEntryParts)
         endpoint.coldFor_ = std::chrono::microseconds(
             std::min(numberAt<std::uint64_t>(entry, ColdPart), longestColdTold));
--- a/src/serving/poison_news.cpp
+++ b/src/serving/poison_news.cpp
@@ -46,7 +46,7 @@
         const auto *lists = member.value().if_array();
         if (lists == nullptr || lists->size() != 2)
             continue;
-        auto &requests = news.crashes_[EndpointLife::parse(
+        auto &requests = news.crashes_[EndpointIncarnation::parse(
             std::string_view(member.key().data(), member.key().size()))];
         for (const auto &request : fingerprintsIn(&lists->at(0)))
             requests.push_back({request, false});
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -55,7 +55,7 @@
 /// Suspects that are remembered; a record takes some 200 bytes, so about 1 MB.
 constexpr std::size_t mostRecords = 4096;
 
-std::size_t weightOf(const std::map<EndpointLife, bool> &crashes)
+std::size_t weightOf(const std::map<EndpointIncarnation, bool> &crashes)
 {
     std::size_t result = 0;
     for (const auto &[endpoint, hadEvents] : crashes)
@@ -86,7 +86,7 @@
     return crashes_.empty() && verdicts_.empty() && cleared_.empty();
 }
 
-void mergeNews(PoisonNews &into, const PoisonNews &from)
+void mergeUpdates(PoisonNews &into, const PoisonNews &from)
 {
     for (const auto &[endpoint, requests] : from.crashes_) {
         auto &known = into.crashes_[endpoint];
@@ -133,7 +133,8 @@
         ownCleared_.push_back({request, now});
 }
 
-void PoisonPills::note(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now)
+void PoisonPills::note(const EndpointIncarnation &endpoint, const RequestAtCrash &request,
+                       TimePoint now)
 {
     if (wasServedLately(request.fingerprint_, now)) {
         tellCleared(request.fingerprint_, now);
@@ -285,10 +286,10 @@
     return found != records_.end() && !found->second.crashes_.empty();
 }
 
-std::map<RequestFingerprint, std::vector<EndpointLife>>
+std::map<RequestFingerprint, std::vector<EndpointIncarnation>>
 PoisonPills::quarantined(TimePoint now) const
 {
-    std::map<RequestFingerprint, std::vector<EndpointLife>> result;
+    std::map<RequestFingerprint, std::vector<EndpointIncarnation>> result;
     for (const auto &[request, record] : records_) {
         if (now >= record.until_)
             continue;
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -85,13 +85,13 @@
 /// slowly.
 bool ReplicaManager::isDue(TimePoint now)
 {
-    const bool hasChanged = parts_.book_.revision() != plannedRevision_ || hadOrders_
+    const bool hasChanged = parts_.endpointRegistry_.revision() != plannedRevision_ || hadOrders_
                             || !pending_.empty() || !unanswered_.empty()
-                            || !parts_.board_.silentEverywhere(now).empty();
+                            || !parts_.loadTracker_.stalledEverywhere(now).empty();
     if (!hasChanged && now - plannedAt_ < longestPlanGap)
         return false;
     plannedAt_ = now;
-    plannedRevision_ = parts_.book_.revision();
+    plannedRevision_ = parts_.endpointRegistry_.revision();
     hadOrders_ = false;
     return true;
 }
@@ -99,21 +99,21 @@
 void ReplicaManager::expire(TimePoint now, TimePoint listedAsOf)
 {
     const auto ended = std::erase_if(pending_, [this, listedAsOf](const auto &entry) {
-        const auto *engine = parts_.book_.find(entry.first);
+        const auto *engine = parts_.endpointRegistry_.find(entry.first);
         return listedAsOf >= entry.second.until_ || engine == nullptr
                || *engine != entry.second.before_;
     });
     hadOrders_ = hadOrders_ || ended > 0;
     const auto isAnotherLife = [this](const VmId &id, std::uint64_t bornAt) {
-        const auto *engine = parts_.book_.find(id);
-        return engine == nullptr || engine->bornAt_ != bornAt;
+        const auto *engine = parts_.endpointRegistry_.find(id);
+        return engine == nullptr || engine->startedAt_ != bornAt;
     };
     std::erase_if(unanswered_, [&](const auto &entry) {
-        return isAnotherLife(entry.first, entry.second.bornAt_);
+        return isAnotherLife(entry.first, entry.second.startedAt_);
     });
     std::erase_if(loads_, [&](const auto &entry) {
-        const auto *engine = parts_.book_.find(entry.first);
-        const bool isDone = isAnotherLife(entry.first, entry.second.bornAt_)
+        const auto *engine = parts_.endpointRegistry_.find(entry.first);
+        const bool isDone = isAnotherLife(entry.first, entry.second.startedAt_)
                             || engine->hasStaged(entry.second.model_);
         return isDone || now >= entry.second.until_;
     });
@@ -130,7 +130,7 @@
         if (!order.group_.isEmpty())
             input.joining_.emplace(engine, order.group_);
     }
-    const auto silent = parts_.board_.silentEverywhere(parts_.clock_.now());
+    const auto silent = parts_.loadTracker_.stalledEverywhere(parts_.clock_.now());
     input.silent_.insert(silent.begin(), silent.end());
     for (const auto &[engine, silence] : unanswered_)
         input.unresponsive_.insert(engine);
@@ -151,7 +151,7 @@
 
 void ReplicaManager::planService(const Service &service)
 {
-    const auto engines = plannable(parts_.book_.ofService(service.name_));
+    const auto engines = plannable(parts_.endpointRegistry_.ofService(service.name_));
     auto &memory = memories_[service.name_];
     if (isFirstLoad_ && !hasSettled(memory, engines.size()))
         return;
@@ -173,14 +173,14 @@
 {
     std::set<GroupName> serving;
     for (const auto *engine : engines) {
-        if (engine->membership_ && !parts_.book_.isEvacuated(*engine))
+        if (engine->membership_ && !parts_.endpointRegistry_.isEvacuated(*engine))
             serving.insert(engine->membership_->group_);
     }
     std::vector<const Endpoint *> result;
     for (const auto *engine : engines) {
         const bool isOfServing
             = engine->membership_ && serving.contains(engine->membership_->group_);
-        if (isOfServing || !parts_.book_.isEvacuated(*engine))
+        if (isOfServing || !parts_.endpointRegistry_.isEvacuated(*engine))
             result.push_back(engine);
     }
     return result;
@@ -245,7 +245,7 @@
 void ReplicaManager::inquire(const std::vector<const Endpoint *> &engines)
 {
     const auto now = parts_.clock_.now();
-    const auto silent = parts_.board_.silentEverywhere(now);
+    const auto silent = parts_.loadTracker_.stalledEverywhere(now);
     for (const auto &group : groupsOf(engines)) {
         const bool isStalled
             = group.head_ != nullptr
@@ -285,7 +285,7 @@
 {
     ++inquiries_[group].open_;
     parts_.orders_.state(member, [this, alive = std::weak_ptr(isAlive_), group, id = member.id_,
-                                  bornAt = member.bornAt_](const Result<Endpoint> &answer) {
+                                  bornAt = member.startedAt_](const Result<Endpoint> &answer) {
         if (!alive.expired())
             memberAnswered(group, id, bornAt, answer);
     });
@@ -300,13 +300,13 @@
     // It has answered this entry VM just before.
     if (isError<EndpointCoolingDown>(answer))
         return;
-    const bool isRestarted = isOk(answer) && valueOf(answer).bornAt_ > bornAt;
+    const bool isRestarted = isOk(answer) && valueOf(answer).startedAt_ > bornAt;
     if (isOk(answer) && !isRestarted) {
         unanswered_.erase(member);
         return;
     }
     auto &silence = unanswered_[member];
-    silence.bornAt_ = bornAt;
+    silence.startedAt_ = bornAt;
     ++silence.questions_;
     const auto problem = isRestarted ? "it has started again" : messageOf(errorOf(answer));
     log::info(event::engineSilent,
@@ -319,7 +319,7 @@
 
 void ReplicaManager::send(const PlannedOrder &planned, const EngineProfile &profile)
 {
-    const auto *engine = parts_.book_.find(planned.engine_);
+    const auto *engine = parts_.endpointRegistry_.find(planned.engine_);
     if (engine == nullptr || !parts_.lease_.isHeldFor(orderMargin))
         return;
     const auto now = parts_.clock_.now();
@@ -331,7 +331,7 @@
         const auto model = loadedBy(planned.order_);
         const auto alone = loadTimeOf(profile, model);
         loads_[planned.engine_]
-            = {now + (isFirstLoad_ ? alone / 5 : alone * 3 / 2), model, engine->bornAt_};
+            = {now + (isFirstLoad_ ? alone / 5 : alone * 3 / 2), model, engine->startedAt_};
     }
     log::info(event::orderSent, {{"engine", planned.engine_.text()},
                                  {"order", std::string(nameOf(planned.order_))},
@@ -358,10 +358,10 @@
     log::info(event::orderAnswered,
               {{"engine", engine.text()}, {"order", std::string(nameOf(order))}, {"answer", text}});
     // A head that does not take the order to leave counts as lost, so that its members leave.
-    const auto *listed = parts_.book_.find(engine);
+    const auto *listed = parts_.endpointRegistry_.find(engine);
     if (!isOk(answer) && std::holds_alternative<LeaveOrder>(order) && listed != nullptr) {
         auto &silence = unanswered_[engine];
-        silence.bornAt_ = listed->bornAt_;
+        silence.startedAt_ = listed->startedAt_;
         ++silence.questions_;
     }
 }
--- a/src/serving/reservation_desk.cpp
+++ b/src/serving/reservation_coordinator.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 
 #include "serving/log_events.hpp"
 
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Reservation::Reservation(ReservationDesk &desk, EndpointLife endpoint)
+Reservation::Reservation(ReservationCoordinator &desk, EndpointIncarnation endpoint)
     : desk_(desk)
     , endpoint_(std::move(endpoint))
 {
@@ -56,12 +56,12 @@
 
 bool Reservation::isAlive(TimePoint now) const
 {
-    return state_ == State::Asked
-           || (state_ == State::Booked && now < opensAt_ + ReservationBook::validFor);
+    return state_ == State::Pending
+           || (state_ == State::Booked && now < opensAt_ + ReservationScheduler::bookingValidity);
 }
 
-ReservationDesk::ReservationDesk(Clock &clock, const SendRates &rates, GatewayMetrics &metrics,
-                                 Random random)
+ReservationCoordinator::ReservationCoordinator(Clock &clock, const SendRates &rates,
+                                               GatewayMetrics &metrics, Random random)
     : clock_(clock)
     , rates_(rates)
     , metrics_(metrics)
@@ -69,45 +69,46 @@
 {
 }
 
-void ReservationDesk::setSelf(EntryId entry, Address address)
+void ReservationCoordinator::setSelf(EntryId entry, Address address)
 {
     self_ = std::move(entry);
     address_ = std::move(address);
     bookingFrom_ = clock_.now() + learnsPeersFor;
 }
 
-bool ReservationDesk::isLimited(const EndpointLife &endpoint) const
+bool ReservationCoordinator::isLimited(const EndpointIncarnation &endpoint) const
 {
     return rates_.perSecond(endpoint).has_value();
 }
 
-std::optional<Duration> ReservationDesk::fullFor(const EndpointLife &endpoint, Duration wait) const
+std::optional<Duration>
+ReservationCoordinator::timeUntilCapacity(const EndpointIncarnation &endpoint, Duration wait) const
 {
     const auto now = clock_.now();
     const auto found = full_.find(endpoint);
     if (found == full_.end() || now >= found->second.until_)
         return std::nullopt;
     // A refusal tells nothing to those who can wait much longer.
-    const auto patience = std::min(wait, ReservationBook::longestAhead);
+    const auto patience = std::min(wait, ReservationScheduler::maxBookingAhead);
     if (now + patience > found->second.noneBefore_ + answerPatience)
         return std::nullopt;
     return std::max(found->second.comeBackAt_, found->second.until_) - now;
 }
 
-double ReservationDesk::perSecond(const EndpointLife &endpoint) const
+double ReservationCoordinator::perSecond(const EndpointIncarnation &endpoint) const
 {
     return rates_.perSecond(endpoint).value_or(0);
 }
 
-bool ReservationDesk::isSilent(const EntryId &entry) const
+bool ReservationCoordinator::isSilent(const EntryId &entry) const
 {
     const auto found = silentUntil_.find(entry);
     return found != silentUntil_.end() && clock_.now() < found->second;
 }
 
 /// \param withSilent also those that did not answer lately.
-ReservationDesk::Owner ReservationDesk::firstOwner(const EndpointLife &endpoint,
-                                                   bool withSilent) const
+ReservationCoordinator::Owner
+ReservationCoordinator::firstOwner(const EndpointIncarnation &endpoint, bool withSilent) const
 {
     const auto key = endpoint.text();
     Owner best;
@@ -124,25 +125,28 @@
     return best;
 }
 
-ReservationDesk::Owner ReservationDesk::ownerOf(const EndpointLife &endpoint) const
+ReservationCoordinator::Owner
+ReservationCoordinator::ownerOf(const EndpointIncarnation &endpoint) const
 {
     return firstOwner(endpoint, false);
 }
 
 /// The entry VM that would own the endpoint if it were not silent; without a name if that is none.
-ReservationDesk::Owner ReservationDesk::passedOver(const EndpointLife &endpoint) const
+ReservationCoordinator::Owner
+ReservationCoordinator::passedOver(const EndpointIncarnation &endpoint) const
 {
     const auto first = firstOwner(endpoint, true);
     return isSilent(first.entry_) ? first : Owner{};
 }
 
-bool ReservationDesk::owns(const EndpointLife &endpoint) const
+bool ReservationCoordinator::owns(const EndpointIncarnation &endpoint) const
 {
     return ownerOf(endpoint).entry_.isEmpty();
 }
 
-std::unique_ptr<Reservation> ReservationDesk::reserve(const EndpointLife &endpoint, Duration within,
-                                                      std::function<void()> answered)
+std::unique_ptr<Reservation> ReservationCoordinator::reserve(const EndpointIncarnation &endpoint,
+                                                             Duration within,
+                                                             std::function<void()> answered)
 {
     metrics_.reservations_.increment();
     auto reservation = std::make_unique<Reservation>(*this, endpoint);
@@ -156,32 +160,35 @@
     return reservation;
 }
 
-void ReservationDesk::bookHere(Reservation &reservation, Duration within)
+void ReservationCoordinator::bookHere(Reservation &reservation, Duration within)
 {
     const auto &endpoint = reservation.endpoint_;
     const auto now = clock_.now();
-    settle(&reservation, endpoint, now + within, book(endpoint, perSecond(endpoint), within), {});
+    settle(&reservation, endpoint, now + within, bookAsOwner(endpoint, perSecond(endpoint), within),
+           {});
 }
 
-BookingResult ReservationDesk::book(const EndpointLife &endpoint, double perSecond, Duration within)
+BookingResult ReservationCoordinator::bookAsOwner(const EndpointIncarnation &endpoint,
+                                                  double perSecond, Duration within)
 {
     const auto now = clock_.now();
     if (now < bookingFrom_)
-        return NoneInTime{bookingFrom_ - now};
-    return book_.take(endpoint, perSecond, within, now);
+        return NoSlotInTime{bookingFrom_ - now};
+    return book_.book(endpoint, perSecond, within, now);
 }
 
 /// \param reservation null if it was dropped meanwhile.
 /// \param until the send had to open by then.
 /// \param owner who booked it; empty for this entry VM.
-void ReservationDesk::settle(Reservation *reservation, const EndpointLife &endpoint,
-                             TimePoint until, const BookingResult &result, const Address &owner)
+void ReservationCoordinator::settle(Reservation *reservation, const EndpointIncarnation &endpoint,
+                                    TimePoint until, const BookingResult &result,
+                                    const Address &owner)
 {
     const auto now = clock_.now();
     if (const auto *booked = std::get_if<Booked>(&result)) {
         const auto opensAt = now + booked->opensIn_;
         if (reservation == nullptr) {
-            giveBack(endpoint, opensAt, owner);
+            returnBooking(endpoint, opensAt, owner);
             return;
         }
         full_.erase(endpoint);
@@ -191,14 +198,14 @@
         return;
     }
     metrics_.reservationsRefused_.increment();
-    const auto comeBackIn = std::get<NoneInTime>(result).comeBackIn_;
+    const auto comeBackIn = std::get<NoSlotInTime>(result).retryAfter_;
     const auto pause = std::max(shortestFull, fromSeconds(toSeconds(comeBackIn) * fullShare));
     full_[endpoint] = {now + pause, now + comeBackIn, until};
     if (reservation != nullptr)
         reservation->state_ = Reservation::State::Refused;
 }
 
-void ReservationDesk::tell(Reservation *reservation) const
+void ReservationCoordinator::tell(Reservation *reservation) const
 {
     if (reservation == nullptr)
         return;
@@ -208,10 +215,10 @@
         answered();
 }
 
-void ReservationDesk::drop(Reservation &reservation)
+void ReservationCoordinator::drop(Reservation &reservation)
 {
     if (reservation.state_ == Reservation::State::Booked) {
-        giveBack(reservation.endpoint_, reservation.opensAt_, reservation.owner_);
+        returnBooking(reservation.endpoint_, reservation.opensAt_, reservation.owner_);
         return;
     }
     for (auto &[number, asked] : asked_) {
@@ -220,20 +227,20 @@
     }
 }
 
-void ReservationDesk::giveBack(const EndpointLife &endpoint, TimePoint opensAt,
-                               const Address &owner)
+void ReservationCoordinator::returnBooking(const EndpointIncarnation &endpoint, TimePoint opensAt,
+                                           const Address &owner)
 {
     const auto now = clock_.now();
     metrics_.reservationsReturned_.increment();
     full_.erase(endpoint);
     if (owner.ip_.empty())
-        book_.giveBack(endpoint, opensAt, now);
+        book_.returnBooking(endpoint, opensAt, now);
     else
         send(owner, encode(ReservationReturn{endpoint, std::max(Duration::zero(), opensAt - now),
                                              std::max(Duration::zero(), now - opensAt)}));
 }
 
-void ReservationDesk::ask(std::uint64_t number, Asked asked)
+void ReservationCoordinator::ask(std::uint64_t number, Pending asked)
 {
     if (asked_.size() >= mostAsked)
         asked_.erase(asked_.begin());
@@ -241,7 +248,7 @@
     asked_[number] = std::move(asked);
 }
 
-void ReservationDesk::askOwner(std::uint64_t number, Asked &asked, const Owner &owner)
+void ReservationCoordinator::askOwner(std::uint64_t number, Pending &asked, const Owner &owner)
 {
     const auto now = clock_.now();
     asked.asks_ = asked.owner_ == owner.entry_ ? asked.asks_ + 1 : 1;
@@ -254,7 +261,7 @@
                                                    passedOver(asked.endpoint_).entry_}));
 }
 
-bool ReservationDesk::take(std::string_view text)
+bool ReservationCoordinator::take(std::string_view text)
 {
     if (const auto request = decodeReservationRequest(text)) {
         take(*request);
@@ -266,13 +273,13 @@
     }
     if (const auto back = decodeReservationReturn(text)) {
         const auto now = clock_.now();
-        book_.giveBack(back->endpoint_, now + back->opensIn_ - back->openSince_, now);
+        book_.returnBooking(back->endpoint_, now + back->opensIn_ - back->openSince_, now);
         return true;
     }
     return false;
 }
 
-void ReservationDesk::take(const ReservationRequest &request)
+void ReservationCoordinator::take(const ReservationRequest &request)
 {
     ReservationAnswer answer;
     answer.from_ = self_;
@@ -290,20 +297,20 @@
         if (owner.entry_ == request.silentOwner_)
             probe(owner, request.endpoint_);
     } else if (request.within_ <= Duration::zero()) {
-        answer.kind_ = ReservationAnswer::Kind::NoneInTime;
+        answer.kind_ = ReservationAnswer::Kind::NoSlotInTime;
     } else {
         const auto rate = rates_.perSecond(request.endpoint_).value_or(request.perSecond_);
-        const auto result = book(request.endpoint_, rate, request.within_);
+        const auto result = bookAsOwner(request.endpoint_, rate, request.within_);
         const auto *booked = std::get_if<Booked>(&result);
         answer.kind_ = booked != nullptr ? ReservationAnswer::Kind::Booked
-                                         : ReservationAnswer::Kind::NoneInTime;
+                                         : ReservationAnswer::Kind::NoSlotInTime;
         answer.time_
-            = booked != nullptr ? booked->opensIn_ : std::get<NoneInTime>(result).comeBackIn_;
+            = booked != nullptr ? booked->opensIn_ : std::get<NoSlotInTime>(result).retryAfter_;
     }
     send(request.address_, encode(answer));
 }
 
-void ReservationDesk::take(const ReservationAnswer &answer)
+void ReservationCoordinator::take(const ReservationAnswer &answer)
 {
     heard(answer.from_);
     auto node = asked_.extract(answer.number_);
@@ -311,7 +318,7 @@
     if (!node) {
         // It came too late, and another one was asked instead.
         if (isBooked)
-            giveBack(answer.endpoint_, clock_.now() + answer.time_, answer.address_);
+            returnBooking(answer.endpoint_, clock_.now() + answer.time_, answer.address_);
         return;
     }
     auto &asked = node.mapped();
@@ -319,8 +326,8 @@
         redirect(std::move(asked), answer);
         return;
     }
-    const auto result
-        = isBooked ? BookingResult(Booked{answer.time_}) : BookingResult(NoneInTime{answer.time_});
+    const auto result = isBooked ? BookingResult(Booked{answer.time_})
+                                 : BookingResult(NoSlotInTime{answer.time_});
     // An answer to a probe says nothing of the endpoint.
     if (asked.reservation_ != nullptr || isBooked)
         settle(asked.reservation_, asked.endpoint_, asked.until_, result, answer.address_);
@@ -328,14 +335,14 @@
 }
 
 /// Entry VMs may see different peers for a while, and one that was silent may be back.
-void ReservationDesk::redirect(Asked asked, const ReservationAnswer &answer)
+void ReservationCoordinator::redirect(Pending asked, const ReservationAnswer &answer)
 {
     if (asked.reservation_ == nullptr)
         return;
     const auto now = clock_.now();
     if (asked.tries_ >= mostTries || now >= asked.until_) {
-        settle(asked.reservation_, asked.endpoint_, now + ReservationBook::longestAhead,
-               NoneInTime{fullWithoutOwner}, {});
+        settle(asked.reservation_, asked.endpoint_, now + ReservationScheduler::maxBookingAhead,
+               NoSlotInTime{fullWithoutOwner}, {});
     } else if (answer.owner_ == self_) {
         bookHere(*asked.reservation_, asked.until_ - now);
     } else {
@@ -348,7 +355,7 @@
 }
 
 /// Finds out whether an owner that another entry VM gets no answer from answers this one.
-void ReservationDesk::probe(const Owner &owner, const EndpointLife &endpoint)
+void ReservationCoordinator::probe(const Owner &owner, const EndpointIncarnation &endpoint)
 {
     const bool isUnderWay = std::any_of(asked_.begin(), asked_.end(), [&owner](const auto &one) {
         return one.second.reservation_ == nullptr && one.second.owner_ == owner.entry_;
@@ -357,24 +364,24 @@
         return;
     const auto now = clock_.now();
     const auto number = ++number_;
-    Asked asked{nullptr, endpoint, {}, now, now};
+    Pending asked{nullptr, endpoint, {}, now, now};
     askOwner(number, asked, owner);
     asked_[number] = std::move(asked);
 }
 
-void ReservationDesk::heard(const EntryId &entry)
+void ReservationCoordinator::heard(const EntryId &entry)
 {
     heardAt_[entry] = clock_.now();
     silentUntil_.erase(entry);
 }
 
-bool ReservationDesk::wasHeard(const EntryId &entry) const
+bool ReservationCoordinator::wasHeard(const EntryId &entry) const
 {
     const auto found = heardAt_.find(entry);
     return found != heardAt_.end() && clock_.now() - found->second <= heardLately;
 }
 
-void ReservationDesk::ownerSilent(const EntryId &owner)
+void ReservationCoordinator::ownerSilent(const EntryId &owner)
 {
     const auto now = clock_.now();
     if (!isSilent(owner)) {
@@ -386,10 +393,10 @@
     silentUntil_[owner] = now + silenceHeld;
 }
 
-void ReservationDesk::sweep()
+void ReservationCoordinator::sweep()
 {
     const auto now = clock_.now();
-    std::vector<std::map<std::uint64_t, Asked>::node_type> overdue;
+    std::vector<std::map<std::uint64_t, Pending>::node_type> overdue;
     for (auto place = asked_.begin(); place != asked_.end();) {
         const auto next = std::next(place);
         if (now - place->second.askedAt_ > answerPatience)
@@ -408,7 +415,7 @@
 }
 
 /// The number stays: if both requests are answered, the second send is given back.
-void ReservationDesk::askAgain(std::uint64_t number, Asked asked)
+void ReservationCoordinator::askAgain(std::uint64_t number, Pending asked)
 {
     const auto now = clock_.now();
     const bool isProbe = asked.reservation_ == nullptr;
@@ -425,14 +432,14 @@
     if (isProbe)
         return;
     if (isTooLate)
-        settle(asked.reservation_, asked.endpoint_, now + ReservationBook::longestAhead,
-               NoneInTime{fullWithoutOwner}, {});
+        settle(asked.reservation_, asked.endpoint_, now + ReservationScheduler::maxBookingAhead,
+               NoSlotInTime{fullWithoutOwner}, {});
     else
         bookHere(*asked.reservation_, asked.until_ - now);
     tell(asked.reservation_);
 }
 
-void ReservationDesk::send(const Address &to, std::string_view text) const
+void ReservationCoordinator::send(const Address &to, std::string_view text) const
 {
     if (send_)
         send_(to, text);
--- a/src/serving/reservation_messages.cpp
+++ b/src/serving/reservation_messages.cpp
@@ -37,7 +37,7 @@
         return std::nullopt;
     return ReservationRequest{
         EntryId(textIn(*params, "from")),  *address,
-        numberIn(*params, "number"),       EndpointLife::parse(textIn(*params, "endpoint")),
+        numberIn(*params, "number"),       EndpointIncarnation::parse(textIn(*params, "endpoint")),
         realIn(*params, "per_second"),     microsecondsIn(*params, "within"),
         EntryId(textIn(*params, "silent"))};
 }
@@ -68,7 +68,7 @@
     return ReservationAnswer{EntryId(textIn(*params, "from")),
                              *address,
                              numberIn(*params, "number"),
-                             EndpointLife::parse(textIn(*params, "endpoint")),
+                             EndpointIncarnation::parse(textIn(*params, "endpoint")),
                              static_cast<ReservationAnswer::Kind>(kind),
                              microsecondsIn(*params, "time"),
                              EntryId(textIn(*params, "owner"))};
@@ -86,7 +86,7 @@
     const auto params = paramsOf(text, returnMethod);
     if (!params || textIn(*params, "endpoint").empty())
         return std::nullopt;
-    return ReservationReturn{EndpointLife::parse(textIn(*params, "endpoint")),
+    return ReservationReturn{EndpointIncarnation::parse(textIn(*params, "endpoint")),
                              microsecondsIn(*params, "opens_in"),
                              microsecondsIn(*params, "open_since")};
 }
--- a/src/serving/reservation_book.cpp
+++ b/src/serving/reservation_scheduler.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/serving/reservation_book.hpp>
+#include <cardamombay/serving/reservation_scheduler.hpp>
 
 #include <algorithm>
 #include <optional>
@@ -22,18 +22,18 @@
 
 } // namespace
 
-BookingResult ReservationBook::take(const EndpointLife &endpoint, double perSecond, Duration within,
-                                    TimePoint now)
+BookingResult ReservationScheduler::book(const EndpointIncarnation &endpoint, double perSecond,
+                                         Duration within, TimePoint now)
 {
-    const auto interval = fromSeconds(1 / std::max(perSecond, leastPerSecond));
-    const auto until = now + std::min(within, longestAhead);
+    const auto interval = fromSeconds(1 / std::max(perSecond, minPerSecond));
+    const auto until = now + std::min(within, maxBookingAhead);
     const auto [place, isNew] = lines_.try_emplace(endpoint);
     auto &line = place->second;
     // Another owner may have booked sends until then.
     if (isNew)
-        line.last_ = now + longestAhead - interval;
+        line.last_ = now + maxBookingAhead - interval;
     line.askedAt_ = now;
-    line.free_.erase(line.free_.begin(), line.free_.lower_bound(now - validFor));
+    line.free_.erase(line.free_.begin(), line.free_.lower_bound(now - bookingValidity));
     if (!line.free_.empty() && *line.free_.begin() <= until) {
         const auto opensAt = *line.free_.begin();
         line.free_.erase(line.free_.begin());
@@ -43,29 +43,30 @@
     if (opensAt > until) {
         line.comeBack_ = std::max(line.comeBack_, opensAt) + interval;
         line.comeBack_ = std::min(line.comeBack_, now + longestComeBack);
-        return NoneInTime{line.comeBack_ - now};
+        return NoSlotInTime{line.comeBack_ - now};
     }
     line.last_ = opensAt;
     return Booked{std::max(Duration::zero(), opensAt - now)};
 }
 
-void ReservationBook::giveBack(const EndpointLife &endpoint, TimePoint opensAt, TimePoint now)
+void ReservationScheduler::returnBooking(const EndpointIncarnation &endpoint, TimePoint opensAt,
+                                         TimePoint now)
 {
     const auto found = lines_.find(endpoint);
-    const bool isValid = opensAt + validFor > now && opensAt <= now + longestAhead;
+    const bool isValid = opensAt + bookingValidity > now && opensAt <= now + maxBookingAhead;
     if (found != lines_.end() && isValid && found->second.free_.size() < mostFree)
         found->second.free_.insert(opensAt);
 }
 
-void ReservationBook::suspend(TimePoint now)
+void ReservationScheduler::suspend(TimePoint now)
 {
     for (auto &[endpoint, line] : lines_) {
-        line.last_ = std::max(line.last_, now + longestAhead);
+        line.last_ = std::max(line.last_, now + maxBookingAhead);
         line.free_.clear();
     }
 }
 
-void ReservationBook::expire(TimePoint now)
+void ReservationScheduler::expire(TimePoint now)
 {
     std::erase_if(lines_,
                   [now](const auto &one) { return now - one.second.askedAt_ > lineLifetime; });
--- a/src/serving/send_rates.cpp
+++ b/src/serving/send_rates.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-std::optional<double> LowestRate::perSecond(const EndpointLife &endpoint) const
+std::optional<double> LowestRate::perSecond(const EndpointIncarnation &endpoint) const
 {
     std::optional<double> lowest;
     for (const auto *source : sources_) {
--- a/src/serving/servable.cpp
+++ b/src/serving/servable.cpp
@@ -4,7 +4,7 @@
 
 namespace cardamombay::serving {
 
-std::optional<std::string_view> whyNotServable(const Service &service, const ServableDemand &demand)
+std::optional<std::string_view> unservableReason(const Service &service, const RequestNeeds &demand)
 {
     if (!service.engine_)
         return std::nullopt;
--- a/src/serving/session.cpp
+++ b/src/serving/session.cpp
@@ -78,7 +78,7 @@
     // What has begun has more to lose, and another endpoint may become free.
     const bool hasBegun = events_ > 0 || mayHaveRun_ > 0;
     if (const auto *later = std::get_if<NoEndpointInTime>(&choice); later != nullptr && !hasBegun) {
-        comeBackIn_ = later->comeBackIn_;
+        retryAfter_ = later->retryAfter_;
         giveUp(later->reason_);
         return false;
     }
@@ -104,19 +104,19 @@
 
 Choice Session::choose(TimePoint now)
 {
-    Demand demand;
+    RoutingRequest demand;
     demand.service_ = service_;
     demand.model_ = head_.model_;
     demand.tried_ = tried_;
     demand.regions_ = regions_;
     demand.promptTokens_ = head_.promptTokens_;
     demand.goal_ = route_->goal_;
-    demand.isHeld_ = wasHeld_;
-    demand.hasBegun_ = events_ > 0;
+    demand.wasQueued_ = wasHeld_;
+    demand.hasPartialAnswer_ = events_ > 0;
     if (gateway_.poisonPills().isSuspect(fingerprint_))
         demand.suspect_ = fingerprint_;
     demand.gate_ = &gateway_.gate();
-    demand.longestWait_ = holdLeft(now);
+    demand.maxWait_ = holdLeft(now);
     if (reservation_ && reservation_->isOpen(now))
         demand.reserved_ = reservation_->endpoint();
     return gateway_.parts().balancer_.choose(demand, now);
@@ -160,8 +160,8 @@
 /// Some places of a full group are free by then, and the caller may still be on time.
 Duration Session::comeBack() const
 {
-    if (comeBackIn_)
-        return *comeBackIn_;
+    if (retryAfter_)
+        return *retryAfter_;
     return route_ == nullptr ? comeBackElsewhere
                              : fromSeconds(toSeconds(route_->goal_) * comeBackShare);
 }
@@ -204,11 +204,11 @@
     target_ = target;
     viewAge_ = now - gateway_.endpointsConfirmedAt();
     gateway_.parts().metrics_.endpointsAge_.observe(toSeconds(viewAge_));
-    isReserved_ = reservation_ && reservation_->endpoint() == target.life();
+    isReserved_ = reservation_ && reservation_->endpoint() == target.incarnation();
     if (isReserved_)
         reservation_->use();
     reservation_.reset();
-    limit_ = gateway_.limits().find(target.life());
+    limit_ = gateway_.limits().find(target.incarnation());
     if (limit_)
         gateway_.parts().metrics_.limitedSends_.increment();
     tried_.push_back(target.endpoint_);
@@ -230,7 +230,8 @@
     upstream.body_ = request_.body_;
     upstream.connectTimeout_ = std::min(connectPatience, timeLeft(now));
     upstream.longestIdle_ = mayRunAgain() ? longestIdle : longestIdleOnce;
-    gateway_.parts().board_.started(target.endpoint_, service_->engine_ ? tokensToRead() : 0, now);
+    gateway_.parts().loadTracker_.started(target.endpoint_, service_->engine_ ? tokensToRead() : 0,
+                                          now);
     call_ = gateway_.parts().upstream_.start(std::move(upstream), *this);
 }
 
@@ -239,29 +240,29 @@
     if (!call_)
         return;
     call_.reset();
-    gateway_.parts().board_.ended(target_.endpoint_);
+    gateway_.parts().loadTracker_.ended(target_.endpoint_);
 }
 
 /// The choice is as old as the connection took, or as long as the process was suspended meanwhile.
 bool Session::onConnected()
 {
     const auto now = gateway_.parts().clock_.now();
-    switch (gateway_.gate().lastLook(target_.life(), isReserved_, now)) {
-    case LastLook::Leaving:
+    switch (gateway_.gate().checkSend(target_.incarnation(), isReserved_, now)) {
+    case SendDecision::Leaving:
         attemptFailed(Failure::NotSent, "the endpoint leaves");
         return false;
-    case LastLook::Evacuated:
+    case SendDecision::Evacuated:
         attemptFailed(Failure::NotSent, "the endpoint's availability zone is evacuated");
         return false;
-    case LastLook::Cooldown:
+    case SendDecision::Cooldown:
         tried_.pop_back();
         attemptFailed(Failure::NotSent, "the endpoint asks to be left alone");
         return false;
-    case LastLook::Limited:
+    case SendDecision::Limited:
         tried_.pop_back();
         attemptFailed(Failure::NotSent, "the endpoint takes few requests, and none is reserved");
         return false;
-    case LastLook::Send:
+    case SendDecision::Send:
         break;
     }
     isConnected_ = true;
@@ -273,7 +274,7 @@
 {
     const auto now = gateway_.parts().clock_.now();
     if (!failure.mayHaveLeft_)
-        gateway_.parts().board_.failed(target_.endpoint_, now);
+        gateway_.parts().loadTracker_.failed(target_.endpoint_, now);
     else if (!failure.isTimeout_)
         noteBroken();
     attemptFailed(failure.mayHaveLeft_ ? Failure::Unknown : Failure::NotSent, failure.detail_);
@@ -326,17 +327,17 @@
     const auto silent = now - progressAt_;
     if (!service_->engine_)
         return phase_ == Phase::Waiting && silent > plainPatienceGoals * route_->goal_;
-    if (target_.patience_ == Duration::zero() || silent <= target_.patience_)
+    if (target_.stallTimeout_ == Duration::zero() || silent <= target_.stallTimeout_)
         return false;
     // A request that the endpoint has put off lets the others pass; a group that stands still
     // doesn't.
     const auto waitingPatience = fromSeconds(toSeconds(callerPatience()) * waitingShare);
-    const auto heard = now - gateway_.parts().board_.heardAt(target_.endpoint_);
-    if (heard <= target_.patience_)
+    const auto heard = now - gateway_.parts().loadTracker_.lastProgressAt(target_.endpoint_);
+    if (heard <= target_.stallTimeout_)
         return !hasProgress_ && silent > waitingPatience;
     if (hasProgress_ || silent > waitingPatience)
         return true;
-    return !gateway_.parts().board_.isUsable(target_.endpoint_, now);
+    return !gateway_.parts().loadTracker_.isUsable(target_.endpoint_, now);
 }
 
 void Session::check(TimePoint now)
@@ -366,7 +367,7 @@
     }
     if (!call_ || !isStalled(now))
         return;
-    gateway_.parts().board_.stalled(target_.endpoint_, now);
+    gateway_.parts().loadTracker_.stalled(target_.endpoint_, now);
     if (moveElsewhere("the endpoint is silent", now))
         gateway_.parts().metrics_.stalls_.increment();
 }
--- a/src/serving/session.hpp
+++ b/src/serving/session.hpp
@@ -12,7 +12,7 @@
 #include <cardamombay/serving/endpoint_gate.hpp>
 #include <cardamombay/serving/endpoint_limits.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 
 #include <memory>
 #include <optional>
@@ -170,7 +170,7 @@
     std::vector<VmId> tried_;
     std::size_t sends_ = 0;
     std::size_t mayHaveRun_ = 0;         ///< Attempts that may have run.
-    std::optional<Duration> comeBackIn_; ///< Of endpoints that have reached their limits.
+    std::optional<Duration> retryAfter_; ///< Of endpoints that have reached their limits.
     bool isRepeat_ = false;              ///< The next attempt draws on the fleet's budget.
     bool isWaiting_ = false;             ///< For what this process learns at its start.
     bool isHeld_ = false;                ///< It waits here for room.
--- a/src/serving/session_admission.cpp
+++ b/src/serving/session_admission.cpp
@@ -141,7 +141,7 @@
 /// Why no group could serve the request any more, whatever becomes free; absent if one may.
 std::optional<std::string_view> Session::hopeless(TimePoint now) const
 {
-    return whyNotServable(*service_, {head_.model_, head_.promptTokens_, timeLeft(now)});
+    return unservableReason(*service_, {head_.model_, head_.promptTokens_, timeLeft(now)});
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/session_answer.cpp
+++ b/src/serving/session_answer.cpp
@@ -60,8 +60,8 @@
 /// An endpoint that names a cooldown has not run the request and is as good as any after it.
 void Session::noteRefusal(bool isWrongPlace, TimePoint now)
 {
-    gateway_.parts().board_.failed(target_.endpoint_, now);
-    if (!isWrongPlace && gateway_.notices().cooldown(target_.life(), now))
+    gateway_.parts().loadTracker_.failed(target_.endpoint_, now);
+    if (!isWrongPlace && gateway_.notices().cooldown(target_.incarnation(), now))
         tried_.pop_back();
 }
 
@@ -69,7 +69,7 @@
 /// failed elsewhere too.
 void Session::noteAnswer(std::uint32_t status, TimePoint now)
 {
-    auto &board = gateway_.parts().board_;
+    auto &board = gateway_.parts().loadTracker_;
     if (status < leastServerError) {
         board.progressed(target_.endpoint_, now);
         return;
@@ -78,7 +78,8 @@
     if (!gateway_.blamesEndpoint(fingerprint_, target_.endpoint_))
         return;
     board.erred(target_.endpoint_,
-                service_->engine_ ? LoadBoard::groupErrorWeight : LoadBoard::plainErrorWeight, now);
+                service_->engine_ ? LoadTracker::groupErrorWeight : LoadTracker::plainErrorWeight,
+                now);
 }
 
 void Session::takeStreamHead(const net::HttpResponse &head)
@@ -93,7 +94,7 @@
 {
     const auto now = gateway_.parts().clock_.now();
     if (answer_.status_ < leastServerError)
-        gateway_.parts().board_.progressed(target_.endpoint_, now);
+        gateway_.parts().loadTracker_.progressed(target_.endpoint_, now);
     if (phase_ == Phase::Whole) {
         noteProgress(now);
         answer_.body_.append(data);
@@ -171,7 +172,7 @@
 
 void Session::onEnd(std::string_view rest)
 {
-    auto &board = gateway_.parts().board_;
+    auto &board = gateway_.parts().loadTracker_;
     if (answer_.status_ < leastServerError) {
         board.progressed(target_.endpoint_, gateway_.parts().clock_.now());
         board.succeeded(target_.endpoint_);
--- a/src/serving/session_end.cpp
+++ b/src/serving/session_end.cpp
@@ -54,10 +54,10 @@
                                 {"events", std::to_string(events_)},
                                 {"sends", std::to_string(sends_)},
                                 {"elapsed-ms", std::to_string(toMilliseconds(now - arrivedAt_))}};
-    const auto life = target_.life();
-    if (const auto cooldown = gateway_.notices().cooldown(life, now))
+    const auto incarnation = target_.incarnation();
+    if (const auto cooldown = gateway_.notices().cooldown(incarnation, now))
         appendCooldown(details, *cooldown, now);
-    if (gateway_.notices().isLeaving(life))
+    if (gateway_.notices().isLeaving(incarnation))
         details.push_back({"says-leaving", "yes"});
     log::write(log::Level::Info, event::attemptFailed, details);
 }
@@ -121,10 +121,10 @@
         {"most-answer", std::to_string(head_.mostAnswerTokens_)},
         {"likely-answer", std::to_string(head_.likelyAnswerTokens_)},
         {"elapsed-ms", std::to_string(toMilliseconds(elapsed))}};
-    if (target_.passedOver_ > 0)
-        details.push_back({"passed-over", std::to_string(target_.passedOver_)});
-    if (comeBackIn_ && outcome == "refused")
-        details.push_back({"come-back-ms", std::to_string(toMilliseconds(*comeBackIn_))});
+    if (target_.skippedInCooldown_ > 0)
+        details.push_back({"passed-over", std::to_string(target_.skippedInCooldown_)});
+    if (retryAfter_ && outcome == "refused")
+        details.push_back({"come-back-ms", std::to_string(toMilliseconds(*retryAfter_))});
     if (limit_)
         appendLimit(details, *limit_, attemptAt_, isReserved_);
     log::write(log::Level::Info, event::requestFinished, details);
--- a/src/serving/session_limits.cpp
+++ b/src/serving/session_limits.cpp
@@ -35,7 +35,7 @@
 /// A send to an endpoint that wants nothing now is of use to another entry VM.
 void Session::dropBarredReservation(TimePoint now)
 {
-    if (reservation_ && gateway_.gate().bar(reservation_->endpoint(), now))
+    if (reservation_ && gateway_.gate().sendBlock(reservation_->endpoint(), now))
         reservation_.reset();
 }
 
@@ -44,8 +44,8 @@
 void Session::takeNotices(const AnswerHead &answer, TimePoint now)
 {
     if (!answer.isWrongPlace_)
-        gateway_.notices().take({target_.life(), attemptAt_, answer.isRefused_}, answer.notices_,
-                                now);
+        gateway_.notices().take({target_.incarnation(), attemptAt_, answer.isRefused_},
+                                answer.notices_, now);
 }
 
 } // namespace cardamombay::serving
--- a/tests/adapter/formats.cpp
+++ b/tests/adapter/formats.cpp
@@ -125,8 +125,8 @@
     const std::string rest
         = R"("Service":"s","Address":"10.1.0.9:8080","Zone":"z","Slots":6,"State":"ready"})";
     const auto born = format.endpoint(VmId("i"), R"({"born":1790000000123,)" + rest);
-    cr_assert_eq(valueOf(born).bornAt_, 1790000000123U);
-    cr_assert_eq(valueOf(format.endpoint(VmId("i"), "{" + rest)).bornAt_, 0);
+    cr_assert_eq(valueOf(born).startedAt_, 1790000000123U);
+    cr_assert_eq(valueOf(format.endpoint(VmId("i"), "{" + rest)).startedAt_, 0);
 }
 
 namespace {
--- a/tests/crashing_requests/failing.cpp
+++ b/tests/crashing_requests/failing.cpp
@@ -60,5 +60,5 @@
     bench.addGroup("head-1");
     (void)bench.ask("/stream/1");
     failCalls(bench, "/stream/1");
-    cr_assert_not(bench.board_.isUsable(VmId("head-1"), bench.clock_.now()));
+    cr_assert_not(bench.loadTracker_.isUsable(VmId("head-1"), bench.clock_.now()));
 }
--- a/tests/crashing_requests/regressions.cpp
+++ b/tests/crashing_requests/regressions.cpp
@@ -83,7 +83,7 @@
     for (int i = 0; i < 10; ++i) {
         (void)bench.ask("/stream/crash");
         reached += crashCalls(bench.upstream_, "/stream/crash", [&](const std::string &endpoint) {
-            bench.book_.remove(VmId(endpoint), bench.clock_.now());
+            bench.endpointRegistry_.remove(VmId(endpoint), bench.clock_.now());
         });
         bench.pass(milliseconds(300));
     }
--- a/tests/crashing_requests/spread.cpp
+++ b/tests/crashing_requests/spread.cpp
@@ -26,8 +26,9 @@
     const std::size_t seen[] = {fleet.size() / 3, fleet.size() / 2, fleet.size() - 1};
     for (int i = 0; i < 3; ++i) {
         auto &node = fleet.node(seen[i]);
-        const EndpointLife life{VmId("e-" + std::to_string(i)), 1};
-        node.gateway_.poisonPills().endpointCrashed({life, {{pill, false}}}, node.clock_.now());
+        const EndpointIncarnation incarnation{VmId("e-" + std::to_string(i)), 1};
+        node.gateway_.poisonPills().endpointCrashed({incarnation, {{pill, false}}},
+                                                    node.clock_.now());
     }
 }
 
--- a/tests/endpoint_cooldowns/notices.cpp
+++ b/tests/endpoint_cooldowns/notices.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const EndpointLife engine{VmId("e-1"), 7};
+const EndpointIncarnation engine{VmId("e-1"), 7};
 const TimePoint start = TimePoint{} + std::chrono::hours(1);
 
 struct Bench
@@ -36,8 +36,8 @@
     Bench bench;
     bench.refuse(seconds(3), start);
     cr_assert_eq(bench.notices_.cooldown(engine, start)->until_, start + seconds(3));
-    cr_assert_eq(bench.notices_.news(start + seconds(1)).at(0).left_, Duration(seconds(2)));
-    cr_assert(bench.notices_.news(start + seconds(2)).empty());
+    cr_assert_eq(bench.notices_.updates(start + seconds(1)).at(0).left_, Duration(seconds(2)));
+    cr_assert(bench.notices_.updates(start + seconds(2)).empty());
     cr_assert_not(bench.notices_.cooldown(engine, start + seconds(3)));
 }
 
@@ -74,10 +74,10 @@
 {
     Bench bench;
     bench.notices_.take({{engine, seconds(3)}}, start);
-    cr_assert(bench.notices_.isAdvisedAgainst(engine, start + seconds(2)));
+    cr_assert(bench.notices_.isDeprioritized(engine, start + seconds(2)));
     cr_assert_not(bench.notices_.cooldown(engine, start + seconds(2)));
-    cr_assert(bench.notices_.news(start).empty());
-    cr_assert_not(bench.notices_.isAdvisedAgainst(engine, start + seconds(3)));
+    cr_assert(bench.notices_.updates(start).empty());
+    cr_assert_not(bench.notices_.isDeprioritized(engine, start + seconds(3)));
 }
 
 Test(endpoint_notices, memory_of_them_is_bounded)
@@ -90,7 +90,7 @@
         bench.notices_.take({{VmId("e"), i}, start, true}, notices, start);
         bench.notices_.take({{{VmId("p"), i}, seconds(3)}}, start);
     }
-    cr_assert_leq(bench.notices_.news(start).size(), 24);
+    cr_assert_leq(bench.notices_.updates(start).size(), 24);
     cr_assert_not(bench.notices_.isLeaving({VmId("e"), 19999}));
     bench.notices_.expire(start + std::chrono::hours(1) + seconds(1));
     cr_assert_eq(bench.metrics_.cooldownsInForce_.value(), 0);
@@ -114,9 +114,9 @@
 
 Test(endpoint_notices, of_two_peers_news_the_longer_cooldown_is_passed_on)
 {
-    std::vector<CooldownNews> all{{engine, seconds(1)}};
-    mergeNews(all, {{engine, seconds(3)}}, seconds(1));
-    mergeNews(all, {{engine, seconds(1)}}, seconds(2));
+    std::vector<CooldownUpdate> all{{engine, seconds(1)}};
+    mergeUpdates(all, {{engine, seconds(3)}}, seconds(1));
+    mergeUpdates(all, {{engine, seconds(1)}}, seconds(2));
     cr_assert_eq(all.size(), 1);
     cr_assert_eq(all[0].left_, Duration(seconds(2)));
 }
--- a/tests/endpoint_cooldowns/orders.cpp
+++ b/tests/endpoint_cooldowns/orders.cpp
@@ -19,13 +19,13 @@
               Callback<OrderAnswer> done) override
     {
         ++sent_;
-        tellNotices(engine.life(), notices_);
+        tellNotices(engine.incarnation(), notices_);
         done(OrderAnswer::Begun);
     }
     void state(const Endpoint &engine, Callback<Endpoint> done) override
     {
         ++sent_;
-        tellNotices(engine.life(), notices_);
+        tellNotices(engine.incarnation(), notices_);
         done(engine);
     }
 
@@ -41,7 +41,7 @@
     {
         AnswerNotices notices;
         notices.cooldown_ = time;
-        notices_.take({engine_.life(), {}, true}, notices, clock_.now());
+        notices_.take({engine_.incarnation(), {}, true}, notices, clock_.now());
     }
 
     Result<OrderAnswer> order()
@@ -89,7 +89,7 @@
     Bench bench;
     bench.orders_.notices_.cooldown_ = seconds(3);
     (void)bench.order();
-    cr_assert(bench.notices_.cooldown(bench.engine_.life(), bench.clock_.now()));
+    cr_assert(bench.notices_.cooldown(bench.engine_.incarnation(), bench.clock_.now()));
     cr_assert_eq(valueOf(bench.order()), OrderAnswer::Withheld);
     cr_assert_eq(bench.orders_.sent_, 1);
 }
@@ -99,7 +99,7 @@
     Bench bench;
     bench.orders_.notices_.isLeaving_ = true;
     (void)bench.order();
-    cr_assert(bench.notices_.isLeaving(bench.engine_.life()));
+    cr_assert(bench.notices_.isLeaving(bench.engine_.incarnation()));
     cr_assert_eq(valueOf(bench.order()), OrderAnswer::Begun);
 }
 
@@ -107,6 +107,6 @@
 {
     Bench bench;
     bench.coolDown(seconds(30));
-    bench.engine_.bornAt_ = 2;
+    bench.engine_.startedAt_ = 2;
     cr_assert_eq(valueOf(bench.order()), OrderAnswer::Begun);
 }
--- a/tests/endpoint_cooldowns/sessions.cpp
+++ b/tests/endpoint_cooldowns/sessions.cpp
@@ -107,7 +107,7 @@
 Test(cooling_sessions, plain_endpoint_in_cooldown_is_not_taken_for_want_of_others)
 {
     GatewayFixture bench;
-    bench.book_.remove(VmId("p-1"), bench.clock_.now());
+    bench.endpointRegistry_.remove(VmId("p-1"), bench.clock_.now());
     (void)bench.ask(plainPath);
     refuse(bench, "3");
     for (int i = 0; i < 5; ++i) {
@@ -138,7 +138,7 @@
     for (const auto *one : {path, plainPath}) {
         GatewayFixture bench;
         bench.addGroup("head-1");
-        bench.book_.remove(VmId("p-1"), bench.clock_.now());
+        bench.endpointRegistry_.remove(VmId("p-1"), bench.clock_.now());
         (void)bench.ask(one);
         refuse(bench, "0.6");
         const auto caller = bench.ask(one);
@@ -174,11 +174,11 @@
     bench.addGroup("head-1");
     (void)bench.ask(path);
     refuse(bench, "30");
-    const auto before = *bench.book_.find(VmId("head-1"));
+    const auto before = *bench.endpointRegistry_.find(VmId("head-1"));
     auto restarted = before;
-    restarted.bornAt_ += 1;
-    bench.book_.put(restarted);
-    bench.gateway_.endpointRestarted(before.life(), before.address_);
+    restarted.startedAt_ += 1;
+    bench.endpointRegistry_.put(restarted);
+    bench.gateway_.endpointRestarted(before.incarnation(), before.address_);
     (void)bench.ask(path);
     cr_assert_eq(sendsTo(bench, "head-1"), 2);
 }
@@ -241,7 +241,7 @@
 Test(leaving_sessions, plain_endpoint_that_leaves_is_not_taken_for_want_of_others)
 {
     GatewayFixture bench;
-    bench.book_.remove(VmId("p-1"), bench.clock_.now());
+    bench.endpointRegistry_.remove(VmId("p-1"), bench.clock_.now());
     (void)bench.ask(plainPath);
     bench.lastCall()->connect();
     bench.lastCall()->head(200, {{"seal", "s"}, {"leaving", "1"}});
@@ -255,20 +255,21 @@
     GatewayFixture bench;
     bench.addGroup("head-1");
     auto &notices = bench.gateway_.notices();
-    bench.book_.setKnownLeaving(
-        [&notices](const EndpointLife &endpoint) { return notices.isLeaving(endpoint); });
-    notices.onLeaving([&bench](const EndpointLife &one) { bench.book_.markLeaving(one); });
+    bench.endpointRegistry_.setLeavingCheck(
+        [&notices](const EndpointIncarnation &endpoint) { return notices.isLeaving(endpoint); });
+    notices.onLeaving(
+        [&bench](const EndpointIncarnation &one) { bench.endpointRegistry_.markLeaving(one); });
     (void)bench.ask(path);
     bench.lastCall()->connect();
     bench.lastCall()->head(200, {{"seal", "s"}, {"leaving", "1"}});
-    cr_assert(bench.book_.find(VmId("head-1"))->isDraining_);
+    cr_assert(bench.endpointRegistry_.find(VmId("head-1"))->isDraining_);
     bench.addGroup("head-1");
-    cr_assert(bench.book_.find(VmId("head-1"))->isDraining_);
-    auto restarted = *bench.book_.find(VmId("head-1"));
-    restarted.bornAt_ += 1;
+    cr_assert(bench.endpointRegistry_.find(VmId("head-1"))->isDraining_);
+    auto restarted = *bench.endpointRegistry_.find(VmId("head-1"));
+    restarted.startedAt_ += 1;
     restarted.isDraining_ = false;
-    bench.book_.put(restarted);
-    cr_assert_not(bench.book_.find(VmId("head-1"))->isDraining_);
+    bench.endpointRegistry_.put(restarted);
+    cr_assert_not(bench.endpointRegistry_.find(VmId("head-1"))->isDraining_);
 }
 
 Test(advised_sessions, group_that_turned_peers_away_is_tried_last)
@@ -276,12 +277,12 @@
     GatewayFixture bench;
     bench.addGroup("head-1");
     bench.addGroup("head-2");
-    const EndpointLife advised{VmId("head-1"), 0};
+    const EndpointIncarnation advised{VmId("head-1"), 0};
     bench.gateway_.notices().take({{advised, seconds(3)}}, bench.clock_.now());
     for (int i = 0; i < 3; ++i)
         (void)bench.ask(path);
     cr_assert_eq(sendsTo(bench, "head-1"), 0);
-    bench.book_.remove(VmId("head-2"), bench.clock_.now());
+    bench.endpointRegistry_.remove(VmId("head-2"), bench.clock_.now());
     (void)bench.ask(path);
     cr_assert_eq(sendsTo(bench, "head-1"), 1);
 }
@@ -291,7 +292,7 @@
     GatewayFixture bench;
     bench.addGroup("head-1");
     bench.addGroup("head-2");
-    const EndpointLife advised{VmId("head-1"), 0};
+    const EndpointIncarnation advised{VmId("head-1"), 0};
     bench.gateway_.notices().take({{advised, seconds(3)}}, bench.clock_.now());
     for (int i = 0; i < 6; ++i)
         (void)bench.ask(path);
@@ -302,7 +303,7 @@
 Test(cooling_sessions, held_plain_request_is_tried_though_no_group_has_room)
 {
     GatewayFixture bench;
-    bench.book_.remove(VmId("p-1"), bench.clock_.now());
+    bench.endpointRegistry_.remove(VmId("p-1"), bench.clock_.now());
     (void)bench.ask(plainPath);
     refuse(bench, "0.6");
     (void)bench.ask(path);
--- a/tests/endpoint_limits/cold_endpoints.cpp
+++ b/tests/endpoint_limits/cold_endpoints.cpp
@@ -57,14 +57,14 @@
 
     void listCold(Duration coldFor)
     {
-        auto endpoint = *book_.find(VmId("head"));
+        auto endpoint = *endpointRegistry_.find(VmId("head"));
         endpoint.coldFor_ = coldFor;
         cold().listed(endpoint);
     }
 
     [[nodiscard]] std::optional<double> rate()
     {
-        return cold().perSecond(book_.find(VmId("head"))->life());
+        return cold().perSecond(endpointRegistry_.find(VmId("head"))->incarnation());
     }
 };
 
@@ -113,7 +113,7 @@
 Test(cold_endpoints, entry_that_names_no_cold_time_does_not_end_one_that_was_assumed)
 {
     ColdFixture bench;
-    bench.cold().assumeCold(*bench.book_.find(VmId("head")), "test");
+    bench.cold().assumeCold(*bench.endpointRegistry_.find(VmId("head")), "test");
     bench.listCold(Duration::zero());
     cr_assert(bench.rate());
     bench.pass(milliseconds(3100));
@@ -133,9 +133,9 @@
 {
     ColdFixture bench;
     bench.listCold(seconds(10));
-    auto again = *bench.book_.find(VmId("head"));
-    again.bornAt_ = 7;
-    cr_assert_not(bench.cold().perSecond(again.life()));
+    auto again = *bench.endpointRegistry_.find(VmId("head"));
+    again.startedAt_ = 7;
+    cr_assert_not(bench.cold().perSecond(again.incarnation()));
 }
 
 Test(cold_endpoints, warm_group_gets_the_requests_while_another_one_is_cold)
--- a/tests/endpoint_limits/limit_play.cpp
+++ b/tests/endpoint_limits/limit_simulation.cpp
@@ -172,7 +172,7 @@
 
 std::size_t LimitPlay::owner(std::size_t group)
 {
-    const EndpointLife head{VmId(groups_.at(group).head_), 0};
+    const EndpointIncarnation head{VmId(groups_.at(group).head_), 0};
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
         if (fleet_.node(i).gateway_.reservations().owns(head))
             return i;
--- a/tests/evacuations/regressions.cpp
+++ b/tests/evacuations/regressions.cpp
@@ -41,8 +41,9 @@
     {
         std::size_t result = 0;
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
-            const auto *head = nodes_.node(i).book_.find(VmId("head-a"));
-            if (head != nullptr && nodes_.node(i).book_.isEvacuated(*head) == isEvacuated)
+            const auto *head = nodes_.node(i).endpointRegistry_.find(VmId("head-a"));
+            if (head != nullptr
+                && nodes_.node(i).endpointRegistry_.isEvacuated(*head) == isEvacuated)
                 ++result;
         }
         return result;
@@ -96,10 +97,10 @@
 Test(evacuations, nothing_is_sent_to_an_evacuated_zone)
 {
     GatewayFixture bench;
-    auto endpoint = *bench.book_.find(VmId("p-0"));
+    auto endpoint = *bench.endpointRegistry_.find(VmId("p-0"));
     endpoint.zone_ = emptied;
-    bench.book_.put(endpoint);
-    bench.book_.setEvacuated({emptied});
+    bench.endpointRegistry_.put(endpoint);
+    bench.endpointRegistry_.setEvacuated({emptied});
     for (int i = 0; i < 8; ++i) {
         (void)bench.ask("/again/" + std::to_string(i));
         cr_assert_eq(bench.lastCall()->field("endpoint"), "p-1");
@@ -110,11 +111,11 @@
 {
     GatewayFixture bench;
     bench.addGroup("head");
-    auto head = *bench.book_.find(VmId("head"));
+    auto head = *bench.endpointRegistry_.find(VmId("head"));
     head.zone_ = emptied;
-    bench.book_.put(head);
+    bench.endpointRegistry_.put(head);
     (void)bench.ask("/stream/1");
-    bench.book_.setEvacuated({emptied});
+    bench.endpointRegistry_.setEvacuated({emptied});
     cr_assert_not(bench.lastCall()->connect());
 }
 
@@ -122,13 +123,13 @@
 {
     GatewayFixture bench;
     bench.addGroup("head");
-    auto head = *bench.book_.find(VmId("head"));
+    auto head = *bench.endpointRegistry_.find(VmId("head"));
     head.zone_ = emptied;
-    bench.book_.put(head);
-    bench.book_.setEvacuated({emptied});
+    bench.endpointRegistry_.put(head);
+    bench.endpointRegistry_.setEvacuated({emptied});
     const auto caller = bench.ask("/stream/1");
     cr_assert(bench.upstream_.calls_.empty());
-    bench.book_.setEvacuated({});
+    bench.endpointRegistry_.setEvacuated({});
     bench.pass(milliseconds(40));
     cr_assert_eq(bench.upstream_.calls_.size(), 1);
 }
--- a/tests/fuzz/fuzz_targets.cpp
+++ b/tests/fuzz/fuzz_targets.cpp
@@ -27,7 +27,7 @@
 #include <cardamombay/serving/configuration_exchange.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
 #include <cardamombay/serving/peer_clocks.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 #include <cardamombay/settings/settings.hpp>
 #include <cardamombay/traffic/request_parser.hpp>
 
@@ -297,8 +297,8 @@
     using namespace serving;
     if (const auto request = decodeReservationRequest(text)) {
         require(decodeReservationRequest(encode(*request)) == request, "requests are read again");
-        ReservationBook book;
-        (void)book.take(request->endpoint_, request->perSecond_, request->within_, TimePoint{});
+        ReservationScheduler book;
+        (void)book.book(request->endpoint_, request->perSecond_, request->within_, TimePoint{});
     }
     if (const auto answer = decodeReservationAnswer(text))
         require(decodeReservationAnswer(encode(*answer)) == answer, "answers are read again");
@@ -308,7 +308,7 @@
     EndpointLimits limits;
     metrics::Registry registry;
     GatewayMetrics metrics(registry);
-    ReservationDesk desk(clock, limits, metrics, Random(1));
+    ReservationCoordinator desk(clock, limits, metrics, Random(1));
     (void)desk.take(text);
 }
 
--- a/tests/leaving_endpoints/regressions.cpp
+++ b/tests/leaving_endpoints/regressions.cpp
@@ -125,7 +125,7 @@
         if (!leaving_ || !isBound_ || now - storeFaultyUntil_ < settledAfter)
             return;
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *known = fleet_.node(i).book_.find(*leaving_);
+            const auto *known = fleet_.node(i).endpointRegistry_.find(*leaving_);
             const bool isUsed = known != nullptr && !known->isDraining_;
             if (!isUsed || now - faultyUntil_[i] < settledAfter || now - leftAt_ <= longest_)
                 continue;
@@ -221,7 +221,7 @@
     bool isUsed(const VmId &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *known = fleet_.node(i).book_.find(endpoint);
+            const auto *known = fleet_.node(i).endpointRegistry_.find(endpoint);
             if (!fleet_.node(i).isStoreSilent_ && known != nullptr && !known->isDraining_)
                 return true;
         }
@@ -253,7 +253,7 @@
     fleet.faults_.lossShare_ = 0;
     const auto isListed = [&fleet] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
-            if (fleet.node(i).book_.find(VmId("e0")) != nullptr)
+            if (fleet.node(i).endpointRegistry_.find(VmId("e0")) != nullptr)
                 return true;
         }
         return false;
@@ -324,13 +324,13 @@
         for (int passed = 0; passed < 1800; passed += 10) {
             fleet.pass(step);
             for (std::size_t i = 0; i < fleet.size(); ++i)
-                cr_assert_not_null(fleet.node(i).book_.find(VmId("e0")),
+                cr_assert_not_null(fleet.node(i).endpointRegistry_.find(VmId("e0")),
                                    "node %zu, %d ms after an outage of %d ms", i, passed, outage);
         }
         fleet.list("e0", "d");
         fleet.pass(seconds(3));
         for (std::size_t i = 0; i < fleet.size(); ++i)
-            cr_assert_not_null(fleet.node(i).book_.find(VmId("e0")), "node %zu", i);
+            cr_assert_not_null(fleet.node(i).endpointRegistry_.find(VmId("e0")), "node %zu", i);
     }
 }
 
@@ -364,12 +364,12 @@
         GatewayFixture bench;
         const auto caller = bench.ask("/once/7");
         const auto first = bench.lastCall();
-        auto endpoint = *bench.book_.find(VmId(first->field("endpoint")));
+        auto endpoint = *bench.endpointRegistry_.find(VmId(first->field("endpoint")));
         endpoint.isDraining_ = true;
         if (isNoticed)
-            bench.book_.put(endpoint);
+            bench.endpointRegistry_.put(endpoint);
         else
-            bench.book_.remove(endpoint.id_, bench.clock_.now());
+            bench.endpointRegistry_.remove(endpoint.id_, bench.clock_.now());
         cr_assert_not(first->connect());
         cr_assert_eq(bench.upstream_.calls_.size(), 2);
         cr_assert_neq(bench.lastCall()->field("endpoint"), endpoint.id_.text());
--- a/tests/restored_store/regressions.cpp
+++ b/tests/restored_store/regressions.cpp
@@ -39,7 +39,7 @@
     [[nodiscard]] bool isUnused(const std::string &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *known = fleet_.node(i).book_.find(VmId(endpoint));
+            const auto *known = fleet_.node(i).endpointRegistry_.find(VmId(endpoint));
             if (known != nullptr && !known->isDraining_)
                 return false;
         }
@@ -50,7 +50,7 @@
     [[nodiscard]] bool isUsed(const std::string &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *known = fleet_.node(i).book_.find(VmId(endpoint));
+            const auto *known = fleet_.node(i).endpointRegistry_.find(VmId(endpoint));
             if (known == nullptr || known->isDraining_)
                 return false;
         }
--- a/tests/serving/crash_detector.cpp
+++ b/tests/serving/crash_detector.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 const Address address{"10.0.0.2", 80};
-const EndpointLife engine{VmId("e-1"), 7};
+const EndpointIncarnation engine{VmId("e-1"), 7};
 
 /// A detector whose reports are kept.
 struct Bench
--- a/tests/serving/digests.cpp
+++ b/tests/serving/digests.cpp
@@ -1,7 +1,7 @@
 // Who tells whom in a large fleet, and what the sums say.
 #include <cardamombay/serving/change_history.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 #include <cardamombay/serving/reporters.hpp>
 
 #include <algorithm>
--- a/tests/serving/endpoint_limits.cpp
+++ b/tests/serving/endpoint_limits.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 const TimePoint start{seconds(100)};
-const EndpointLife engine{VmId("e-1"), 7};
+const EndpointIncarnation engine{VmId("e-1"), 7};
 
-std::vector<LimitNews> allOf(EndpointLimits &limits, TimePoint now)
+std::vector<LimitUpdate> allOf(EndpointLimits &limits, TimePoint now)
 {
-    return limits.news(now, [](const EndpointLife & /*endpoint*/) { return true; });
+    return limits.updates(now, [](const EndpointIncarnation & /*endpoint*/) { return true; });
 }
 
-std::vector<LimitNews> heardOf(EndpointLimits &limits, TimePoint now)
+std::vector<LimitUpdate> heardOf(EndpointLimits &limits, TimePoint now)
 {
-    return limits.news(now, [](const EndpointLife & /*endpoint*/) { return false; });
+    return limits.updates(now, [](const EndpointIncarnation & /*endpoint*/) { return false; });
 }
 
 } // namespace
@@ -60,7 +60,7 @@
 {
     EndpointLimits limits;
     limits.stated(engine, 2, start);
-    cr_assert_not(limits.find({engine.id_, engine.bornAt_ + 1}));
+    cr_assert_not(limits.find({engine.id_, engine.startedAt_ + 1}));
 }
 
 Test(endpoint_limits_known, peers_learn_limits_and_their_ends)
@@ -108,9 +108,9 @@
         limits.stated({VmId("e-" + std::to_string(i)), 1}, 2, start);
     EndpointLimits peer;
     for (int i = 0; i < 5; ++i) {
-        const auto news = heardOf(limits, start);
-        cr_assert_leq(news.size(), 24);
-        peer.take(news, start);
+        const auto updates = heardOf(limits, start);
+        cr_assert_leq(updates.size(), 24);
+        peer.take(updates, start);
     }
     for (int i = 0; i < 100; ++i)
         cr_assert(peer.find({VmId("e-" + std::to_string(i)), 1}));
@@ -129,7 +129,7 @@
     hub.take(digest, start);
     const auto sum = hub.zoneSummary(start + milliseconds(50)).sum_;
     cr_assert_eq(sum.limits_.size(), 1);
-    cr_assert_eq(sum.limits_[0], (LimitNews{engine, 3, milliseconds(150)}));
+    cr_assert_eq(sum.limits_[0], (LimitUpdate{engine, 3, milliseconds(150)}));
 }
 
 Test(endpoint_limits_known, digests_carry_limits_and_leave_out_what_cannot_be_read)
--- a/tests/serving/limited_sessions.cpp
+++ b/tests/serving/limited_sessions.cpp
@@ -178,7 +178,7 @@
     bench.addGroup("head-2");
     (void)bench.ask(path);
     cr_assert_eq(bench.lastCall()->field("endpoint"), "head-2");
-    const EndpointLife endpoint{VmId("head-1"), 0};
+    const EndpointIncarnation endpoint{VmId("head-1"), 0};
     cr_assert(bench.gateway_.limits().find(endpoint));
 }
 
--- a/tests/serving/node_fleet.cpp
+++ b/tests/serving/node_fleet.cpp
@@ -236,7 +236,7 @@
         fleet.node(i).isFeedCut_ = false;
     fleet.pass(seconds(3));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
-        const auto &book = fleet.node(i).book_;
+        const auto &book = fleet.node(i).endpointRegistry_;
         cr_assert_not_null(book.find(VmId("engine-new")), "node %zu", i);
         cr_assert_null(book.find(VmId("engine-3")), "node %zu", i);
         cr_assert_eq(book.find(VmId("engine-4"))->domain_, FabricDomain("other"), "node %zu", i);
--- a/tests/serving/poison_pills.cpp
+++ b/tests/serving/poison_pills.cpp
@@ -19,7 +19,7 @@
 const RequestFingerprint pill(7);
 const RequestFingerprint other(8);
 
-EndpointLife engine(int number, std::uint64_t bornAt = 1)
+EndpointIncarnation engine(int number, std::uint64_t bornAt = 1)
 {
     return {VmId("e-" + std::to_string(number)), bornAt};
 }
@@ -276,7 +276,7 @@
         Random random(seed);
         std::vector<PoisonPills> fleet(5);
         std::vector<std::pair<TimePoint, PoisonNews>> onTheWay;
-        std::map<RequestFingerprint, std::set<EndpointLife>> ends;
+        std::map<RequestFingerprint, std::set<EndpointIncarnation>> ends;
         auto now = start;
         const auto check = [&] {
             for (const auto &one : fleet) {
--- a/tests/serving/quarantined_sessions.cpp
+++ b/tests/serving/quarantined_sessions.cpp
@@ -113,9 +113,9 @@
     GatewayFixture bench;
     std::size_t sends = 0;
     for (int i = 0; i < 8; ++i) {
-        auto again = *bench.book_.find(VmId("p-0"));
-        again.bornAt_ = static_cast<std::uint64_t>(i + 1);
-        bench.book_.put(again);
+        auto again = *bench.endpointRegistry_.find(VmId("p-0"));
+        again.startedAt_ = static_cast<std::uint64_t>(i + 1);
+        bench.endpointRegistry_.put(again);
         const auto before = bench.upstream_.calls_.size();
         (void)bench.ask("/once/7");
         for (std::size_t call = before; call < bench.upstream_.calls_.size(); ++call) {
--- a/tests/serving/replica_manager.cpp
+++ b/tests/serving/replica_manager.cpp
@@ -46,8 +46,8 @@
 {
     Bench()
     {
-        book_.put(spareEngine("a", "d", "m"));
-        book_.put(spareEngine("b", "d", "m"));
+        endpointRegistry_.put(spareEngine("a", "d", "m"));
+        endpointRegistry_.put(spareEngine("b", "d", "m"));
         lease_.setCandidateRank(0);
         lease_.start();
         while (!lease_.isHeldFor(seconds(5)))
@@ -72,9 +72,9 @@
                                FabricDomain("fleet"),
                                program()};
     SilentOrders orders_;
-    EndpointBook book_;
-    LoadBoard board_;
-    ReplicaManager manager_{{clock_, lease_, orders_, book_, board_}};
+    EndpointRegistry endpointRegistry_;
+    LoadTracker loadTracker_;
+    ReplicaManager manager_{{clock_, lease_, orders_, endpointRegistry_, loadTracker_}};
     RouteTable routes_{gatewayConfiguration()};
 };
 
@@ -96,18 +96,18 @@
 Test(replica_manager, entry_that_only_tells_a_shorter_cold_time_is_no_effect_of_an_order)
 {
     Bench bench;
-    auto engine = *bench.book_.find(VmId("a"));
+    auto engine = *bench.endpointRegistry_.find(VmId("a"));
     engine.coldFor_ = seconds(3);
-    bench.book_.put(engine);
-    const auto revision = bench.book_.revision();
+    bench.endpointRegistry_.put(engine);
+    const auto revision = bench.endpointRegistry_.revision();
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.sent_.size(), 2);
     engine.coldFor_ = seconds(2);
-    bench.book_.put(engine);
+    bench.endpointRegistry_.put(engine);
     bench.clock_.advance(milliseconds(100));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.sent_.size(), 2);
-    cr_assert_eq(bench.book_.revision(), revision);
+    cr_assert_eq(bench.endpointRegistry_.revision(), revision);
 }
 
 Test(replica_manager, nothing_is_planned_by_an_old_view)
@@ -121,14 +121,14 @@
 {
     Bench bench;
     for (const auto *id : {"a", "b"}) {
-        auto engine = *bench.book_.find(VmId(id));
+        auto engine = *bench.endpointRegistry_.find(VmId(id));
         engine.zone_ = AvailabilityZone("z");
-        bench.book_.put(engine);
+        bench.endpointRegistry_.put(engine);
     }
-    bench.book_.setEvacuated({AvailabilityZone("z")});
+    bench.endpointRegistry_.setEvacuated({AvailabilityZone("z")});
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert(bench.orders_.sent_.empty());
-    bench.book_.setEvacuated({});
+    bench.endpointRegistry_.setEvacuated({});
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.sent_.size(), 2);
 }
@@ -139,7 +139,7 @@
     bench.manager_.setFirstStart();
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     bench.clock_.advance(milliseconds(400));
-    bench.book_.put(spareEngine("c", "d"));
+    bench.endpointRegistry_.put(spareEngine("c", "d"));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     bench.clock_.advance(milliseconds(400));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
@@ -156,11 +156,12 @@
     profile.services_.front().engine_->models_[1].members_ = 1;
     const RouteTable routes(profile);
     for (const auto *id : {"a", "b"})
-        bench.book_.put(engineIn(id, "d", GroupName("m.1"), 1, id[0] == 'a' ? 0 : 1,
-                                 id[0] == 'a' ? MemberState::Open : MemberState::Ready));
+        bench.endpointRegistry_.put(
+            engineIn(id, "d", GroupName("m.1"), 1, id[0] == 'a' ? 0 : 1,
+                     id[0] == 'a' ? MemberState::Open : MemberState::Ready));
     auto lender = engineIn("n", "d", GroupName("n.2"), 2, 0, MemberState::Open);
     lender.staged_ = {ModelName("n")};
-    bench.book_.put(lender);
+    bench.endpointRegistry_.put(lender);
     for (int i = 0; i < 10; ++i) {
         bench.manager_.tick(routes, bench.clock_.now());
         bench.clock_.advance(seconds(1));
@@ -176,8 +177,8 @@
     const auto before = bench.orders_.sent_.size();
     cr_assert_gt(before, 0);
     auto reborn = spareEngine("a", "d", "m");
-    reborn.bornAt_ = 7;
-    bench.book_.put(reborn);
+    reborn.startedAt_ = 7;
+    bench.endpointRegistry_.put(reborn);
     bench.clock_.advance(milliseconds(10));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     const auto &[engine, order] = bench.orders_.sent_.back();
@@ -188,16 +189,16 @@
 Test(replica_manager, engine_that_was_left_out_is_asked_again_once_it_is_in_no_group)
 {
     Bench bench;
-    bench.book_.put(engineIn("a", "d", GroupName("m.1"), 1, 0, MemberState::Open));
-    bench.book_.put(engineIn("b", "d", GroupName("m.1"), 1, 1, MemberState::Ready));
-    bench.board_.started(VmId("a"), 10, bench.clock_.now());
-    bench.board_.stalled(VmId("a"), bench.clock_.now());
+    bench.endpointRegistry_.put(engineIn("a", "d", GroupName("m.1"), 1, 0, MemberState::Open));
+    bench.endpointRegistry_.put(engineIn("b", "d", GroupName("m.1"), 1, 1, MemberState::Ready));
+    bench.loadTracker_.started(VmId("a"), 10, bench.clock_.now());
+    bench.loadTracker_.stalled(VmId("a"), bench.clock_.now());
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.questions_.size(), 2);
     for (const auto &[engine, done] : std::exchange(bench.orders_.questions_, {}))
         done(Error(TimedOut{"question", milliseconds(150)}));
     for (const auto *id : {"a", "b"})
-        bench.book_.put(spareEngine(id, "d", "m"));
+        bench.endpointRegistry_.put(spareEngine(id, "d", "m"));
     bench.clock_.advance(seconds(3));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert(bench.orders_.sent_.empty());
@@ -218,11 +219,11 @@
     second.name_ = ServiceName("more-engines");
     configuration.services_.push_back(second);
     const RouteTable routes(configuration);
-    bench.book_.put(loadedIn("a", "d"));
-    bench.book_.put(loadedIn("b", "e"));
+    bench.endpointRegistry_.put(loadedIn("a", "d"));
+    bench.endpointRegistry_.put(loadedIn("b", "e"));
     auto other = loadedIn("c", "d");
     other.service_ = second.name_;
-    bench.book_.put(other);
+    bench.endpointRegistry_.put(other);
     for (int step = 0; step < 40 && bench.orders_.sent_.empty(); ++step) {
         bench.manager_.tick(routes, bench.clock_.now());
         bench.clock_.advance(milliseconds(100));
--- a/tests/serving/request_regions.cpp
+++ b/tests/serving/request_regions.cpp
@@ -36,9 +36,9 @@
 
     void place(const std::string &id, const std::string &zone)
     {
-        auto endpoint = *book_.find(VmId(id));
+        auto endpoint = *endpointRegistry_.find(VmId(id));
         endpoint.zone_ = AvailabilityZone(zone);
-        book_.put(endpoint);
+        endpointRegistry_.put(endpoint);
     }
 
     /// True if all of several requests go to \p endpoint.
