--- a/tests/serving/reservations.cpp
+++ b/tests/serving/reservations.cpp
@@ -2,7 +2,7 @@
 #include <cardamombay/core/manual_clock.hpp>
 #include <cardamombay/metrics/registry.hpp>
 #include <cardamombay/serving/endpoint_limits.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 
 #include <memory>
 #include <set>
@@ -17,7 +17,7 @@
 namespace {
 
 const TimePoint start{seconds(100)};
-const EndpointLife engine{VmId("e-1"), 7};
+const EndpointIncarnation engine{VmId("e-1"), 7};
 constexpr Duration step = milliseconds(20);
 
 Duration opensIn(const BookingResult &result)
@@ -27,7 +27,7 @@
 
 bool isRefused(const BookingResult &result)
 {
-    return std::holds_alternative<NoneInTime>(result);
+    return std::holds_alternative<NoSlotInTime>(result);
 }
 
 /// Entry VMs whose messages arrive at once unless one is cut off or the message is lost.
@@ -59,7 +59,7 @@
         desk(index).setPeers(std::move(peers));
     }
 
-    [[nodiscard]] ReservationDesk &desk(std::size_t index) { return desks_[index]->desk_; }
+    [[nodiscard]] ReservationCoordinator &desk(std::size_t index) { return desks_[index]->desk_; }
 
     [[nodiscard]] std::size_t owner()
     {
@@ -116,7 +116,7 @@
         }
         metrics::Registry registry_;
         GatewayMetrics metrics_{registry_};
-        ReservationDesk desk_;
+        ReservationCoordinator desk_;
     };
 
     void deliver(std::size_t from, const Address &to, std::string_view text)
@@ -152,7 +152,7 @@
     metrics::Registry registry;
     GatewayMetrics metrics(registry);
     EndpointLimits limits;
-    ReservationDesk desk(clock, limits, metrics, Random(1));
+    ReservationCoordinator desk(clock, limits, metrics, Random(1));
     limits.stated(engine, 20, clock.now());
     desk.setSelf(EntryId("entry"), {"10.0.0.1", 7000});
     cr_assert_eq(desk.reserve(engine, seconds(1), {})->state(), Reservation::State::Refused);
@@ -163,31 +163,32 @@
 
 Test(reservation_book, first_send_waits_for_what_another_owner_may_have_booked)
 {
-    ReservationBook book;
-    cr_assert_eq(opensIn(book.take(engine, 2, seconds(1), start)), ReservationBook::longestAhead);
-    ReservationBook impatient;
-    cr_assert(isRefused(impatient.take(engine, 2, milliseconds(999), start)));
+    ReservationScheduler book;
+    cr_assert_eq(opensIn(book.book(engine, 2, seconds(1), start)),
+                 ReservationScheduler::maxBookingAhead);
+    ReservationScheduler impatient;
+    cr_assert(isRefused(impatient.book(engine, 2, milliseconds(999), start)));
 }
 
 Test(reservation_book, sends_are_an_interval_apart)
 {
-    ReservationBook book;
-    (void)book.take(engine, 4, milliseconds(1), start);
+    ReservationScheduler book;
+    (void)book.book(engine, 4, milliseconds(1), start);
     const auto now = start + seconds(2);
-    const auto first = opensIn(book.take(engine, 4, seconds(1), now));
+    const auto first = opensIn(book.book(engine, 4, seconds(1), now));
     cr_assert_eq(first, Duration::zero());
-    cr_assert_leq(opensIn(book.take(engine, 4, seconds(1), now)), milliseconds(250));
-    const auto third = opensIn(book.take(engine, 4, seconds(1), now));
-    cr_assert_eq(opensIn(book.take(engine, 4, seconds(1), now)) - third, milliseconds(250));
+    cr_assert_leq(opensIn(book.book(engine, 4, seconds(1), now)), milliseconds(250));
+    const auto third = opensIn(book.book(engine, 4, seconds(1), now));
+    cr_assert_eq(opensIn(book.book(engine, 4, seconds(1), now)) - third, milliseconds(250));
 }
 
 Test(reservation_book, no_more_than_the_limit_is_booked_in_any_window)
 {
     for (const double limit : {0.3, 1.9, 20.0, 50.0}) {
-        ReservationBook book;
+        ReservationScheduler book;
         std::vector<TimePoint> sends;
         for (auto now = start; now < start + seconds(30); now += milliseconds(7)) {
-            const auto result = book.take(engine, limit, milliseconds(300), now);
+            const auto result = book.book(engine, limit, milliseconds(300), now);
             if (!isRefused(result))
                 sends.push_back(now + opensIn(result));
         }
@@ -203,64 +204,64 @@
 
 Test(reservation_book, send_that_is_given_back_goes_to_the_next)
 {
-    ReservationBook book;
-    (void)book.take(engine, 2, milliseconds(1), start);
+    ReservationScheduler book;
+    (void)book.book(engine, 2, milliseconds(1), start);
     const auto now = start + seconds(2);
-    (void)book.take(engine, 2, seconds(1), now);
-    const auto second = opensIn(book.take(engine, 2, seconds(1), now));
-    cr_assert(isRefused(book.take(engine, 2, second, now)));
-    book.giveBack(engine, now + second, now);
-    cr_assert_eq(opensIn(book.take(engine, 2, second, now)), second);
-    cr_assert(isRefused(book.take(engine, 2, second, now)));
+    (void)book.book(engine, 2, seconds(1), now);
+    const auto second = opensIn(book.book(engine, 2, seconds(1), now));
+    cr_assert(isRefused(book.book(engine, 2, second, now)));
+    book.returnBooking(engine, now + second, now);
+    cr_assert_eq(opensIn(book.book(engine, 2, second, now)), second);
+    cr_assert(isRefused(book.book(engine, 2, second, now)));
 }
 
 Test(reservation_book, send_that_is_given_back_too_late_is_lost)
 {
-    ReservationBook book;
-    (void)book.take(engine, 0.5, milliseconds(1), start);
+    ReservationScheduler book;
+    (void)book.book(engine, 0.5, milliseconds(1), start);
     const auto now = start + seconds(2);
-    (void)book.take(engine, 0.5, seconds(1), now);
-    book.giveBack(engine, now - ReservationBook::validFor, now);
-    cr_assert(isRefused(book.take(engine, 0.5, seconds(1), now)));
+    (void)book.book(engine, 0.5, seconds(1), now);
+    book.returnBooking(engine, now - ReservationScheduler::bookingValidity, now);
+    cr_assert(isRefused(book.book(engine, 0.5, seconds(1), now)));
 }
 
 Test(reservation_book, endpoint_that_takes_nothing_is_asked_once_in_ten_seconds)
 {
-    ReservationBook book;
+    ReservationScheduler book;
     int sends = 0;
     for (auto now = start; now < start + seconds(60); now += milliseconds(50))
-        sends += isRefused(book.take(engine, 0, seconds(1), now)) ? 0 : 1;
+        sends += isRefused(book.book(engine, 0, seconds(1), now)) ? 0 : 1;
     cr_assert_geq(sends, 5);
     cr_assert_leq(sends, 7);
 }
 
 Test(reservation_book, absurd_limit_is_no_limit_and_harms_nothing)
 {
-    ReservationBook book;
-    (void)book.take(engine, 1e300, milliseconds(1), start);
+    ReservationScheduler book;
+    (void)book.book(engine, 1e300, milliseconds(1), start);
     for (int i = 0; i < 1000; ++i)
-        cr_assert_not(isRefused(book.take(engine, 1e300, seconds(1), start + seconds(2))));
+        cr_assert_not(isRefused(book.book(engine, 1e300, seconds(1), start + seconds(2))));
 }
 
 Test(reservation_book, limit_that_rises_is_used_at_once)
 {
-    ReservationBook book;
-    (void)book.take(engine, 0.3, seconds(1), start);
+    ReservationScheduler book;
+    (void)book.book(engine, 0.3, seconds(1), start);
     const auto now = start + seconds(1);
-    cr_assert(isRefused(book.take(engine, 0.3, seconds(1), now)));
+    cr_assert(isRefused(book.book(engine, 0.3, seconds(1), now)));
     int sends = 0;
     for (auto at = now; at < now + seconds(3); at += milliseconds(10))
-        sends += isRefused(book.take(engine, 20, milliseconds(500), at)) ? 0 : 1;
+        sends += isRefused(book.book(engine, 20, milliseconds(500), at)) ? 0 : 1;
     cr_assert_geq(sends, 40);
 }
 
 Test(reservation_book, callers_are_told_to_come_back_one_after_the_other)
 {
-    ReservationBook book;
+    ReservationScheduler book;
     Duration before{};
     for (int i = 0; i < 4; ++i) {
-        const auto result = book.take(engine, 2, milliseconds(100), start);
-        const auto told = std::get<NoneInTime>(result).comeBackIn_;
+        const auto result = book.book(engine, 2, milliseconds(100), start);
+        const auto told = std::get<NoSlotInTime>(result).retryAfter_;
         cr_assert_geq(told - before, milliseconds(500));
         before = told;
     }
@@ -280,7 +281,7 @@
     Desks desks(7);
     limit(desks);
     const auto first = desks.reserve(desks.other());
-    cr_assert_eq(first->state(), Reservation::State::Asked);
+    cr_assert_eq(first->state(), Reservation::State::Pending);
     desks.pass(step);
     cr_assert(first->isOpen(desks.now()));
     cr_assert_eq(desks.answers_, 1);
@@ -414,19 +415,19 @@
     desks.desk(owner).leave();
     cr_assert_not(desks.desk(owner).owns(engine));
     const auto reservation = desks.reserve(owner);
-    cr_assert_eq(reservation->state(), Reservation::State::Asked);
+    cr_assert_eq(reservation->state(), Reservation::State::Pending);
 }
 
 Test(reservation_desk, refusal_is_remembered_for_a_while)
 {
     Desks desks(1);
     desks.limits_.stated(engine, 0.5, desks.now());
-    cr_assert_not(desks.desk(0).fullFor(engine, milliseconds(100)));
+    cr_assert_not(desks.desk(0).timeUntilCapacity(engine, milliseconds(100)));
     const auto reservation = desks.reserve(0, milliseconds(100));
     cr_assert_eq(reservation->state(), Reservation::State::Refused);
-    cr_assert_geq(*desks.desk(0).fullFor(engine, milliseconds(100)), seconds(1));
+    cr_assert_geq(*desks.desk(0).timeUntilCapacity(engine, milliseconds(100)), seconds(1));
     desks.pass(seconds(5));
-    cr_assert_not(desks.desk(0).fullFor(engine, milliseconds(100)));
+    cr_assert_not(desks.desk(0).timeUntilCapacity(engine, milliseconds(100)));
 }
 
 Test(reservation_desk, refusal_of_an_impatient_request_is_none_of_a_patient_one)
@@ -434,8 +435,8 @@
     Desks desks(1);
     desks.limits_.stated(engine, 0.5, desks.now());
     const auto reservation = desks.reserve(0, milliseconds(100));
-    cr_assert(desks.desk(0).fullFor(engine, milliseconds(100)));
-    cr_assert_not(desks.desk(0).fullFor(engine, seconds(1)));
+    cr_assert(desks.desk(0).timeUntilCapacity(engine, milliseconds(100)));
+    cr_assert_not(desks.desk(0).timeUntilCapacity(engine, seconds(1)));
 }
 
 Test(reservation_messages, are_read_as_they_were_written)
--- a/tests/serving/servable.cpp
+++ b/tests/serving/servable.cpp
@@ -19,7 +19,7 @@
     return configuration.services_.front();
 }
 
-ServableDemand demand()
+RequestNeeds demand()
 {
     return {ModelName("m"), 500, seconds(5)};
 }
@@ -28,23 +28,23 @@
 
 Test(servable, usual_request_may_be_served)
 {
-    cr_assert_not(whyNotServable(engines(), demand()));
+    cr_assert_not(unservableReason(engines(), demand()));
 }
 
 Test(servable, model_that_the_service_does_not_have_is_not_servable)
 {
     auto other = demand();
     other.model_ = ModelName("other");
-    cr_assert(whyNotServable(engines(), other));
+    cr_assert(unservableReason(engines(), other));
 }
 
 Test(servable, prompt_beyond_the_memory_of_a_group_is_not_servable)
 {
     auto service = engines();
     service.engine_->memoryTokens_ = 499;
-    cr_assert(whyNotServable(service, demand()));
+    cr_assert(unservableReason(service, demand()));
     service.engine_->memoryTokens_ = 500;
-    cr_assert_not(whyNotServable(service, demand()));
+    cr_assert_not(unservableReason(service, demand()));
 }
 
 Test(servable, time_below_that_of_an_idle_group_is_not_enough)
@@ -52,14 +52,14 @@
     auto late = demand();
     late.promptTokens_ = 50000; // A second of reading.
     late.timeLeft_ = milliseconds(1000);
-    cr_assert(whyNotServable(engines(), late));
+    cr_assert(unservableReason(engines(), late));
     late.timeLeft_ = milliseconds(1100);
-    cr_assert_not(whyNotServable(engines(), late));
+    cr_assert_not(unservableReason(engines(), late));
 }
 
 Test(servable, plain_service_serves_everything)
 {
-    cr_assert_not(whyNotServable(Service{}, {}));
+    cr_assert_not(unservableReason(Service{}, {}));
 }
 
 Test(servable, request_for_an_unknown_model_is_rejected_at_its_arrival)
--- a/tests/serving/sessions.cpp
+++ b/tests/serving/sessions.cpp
@@ -90,7 +90,7 @@
     const auto caller = bench.ask("/again/7");
     for (const auto *other : {"p-0", "p-1"}) {
         if (bench.lastCall()->field("endpoint") != other)
-            bench.book_.remove(VmId(other), bench.clock_.now());
+            bench.endpointRegistry_.remove(VmId(other), bench.clock_.now());
     }
     bench.lastCall()->connect();
     bench.lastCall()->head(500, {{"seal", "s"}});
@@ -281,7 +281,7 @@
 {
     GatewayFixture bench;
     for (const auto *endpoint : {"p-0", "p-1"})
-        bench.board_.failed(VmId(endpoint), bench.clock_.now());
+        bench.loadTracker_.failed(VmId(endpoint), bench.clock_.now());
     bench.ask("/once/7");
     cr_assert_eq(bench.upstream_.calls_.size(), 1);
 }
--- a/tests/serving/streams.cpp
+++ b/tests/serving/streams.cpp
@@ -162,7 +162,7 @@
     bench.ask("/stream/1");
     bench.lastCall()->connect();
     bench.lastCall()->head(500, {{"seal", "s"}});
-    cr_assert_not(bench.board_.isUsable(VmId("g-0"), bench.clock_.now()));
+    cr_assert_not(bench.loadTracker_.isUsable(VmId("g-0"), bench.clock_.now()));
 }
 
 Test(streams, silent_group_is_left_and_reported_as_silent)
@@ -175,7 +175,7 @@
     bench.pass(seconds(1));
     cr_assert_eq(bench.upstream_.calls_.size(), 2);
     cr_assert(bench.upstream_.calls_[0]->isDropped());
-    cr_assert_eq(bench.board_.silentHere(), std::vector<VmId>{VmId(stalled)});
+    cr_assert_eq(bench.loadTracker_.locallyStalled(), std::vector<VmId>{VmId(stalled)});
 }
 
 Test(streams, silence_before_the_first_event_counts_as_a_run)
@@ -231,7 +231,7 @@
     bench.gateway_.setBounds(bounds);
     const auto broken = begin(bench, "/stream/1");
     bench.lastCall()->fail(true);
-    bench.book_.remove(VmId("g-0-member"), bench.clock_.now());
+    bench.endpointRegistry_.remove(VmId("g-0-member"), bench.clock_.now());
     bench.ask("/stream/2");
     bench.addGroup("g-1");
     bench.pass(milliseconds(40));
@@ -249,7 +249,7 @@
     bench.clock_.jump(seconds(2));
     bench.pass(milliseconds(40));
     cr_assert_eq(bench.upstream_.calls_.size(), 1);
-    cr_assert(bench.board_.silentHere().empty());
+    cr_assert(bench.loadTracker_.locallyStalled().empty());
 }
 
 Test(streams, group_whose_other_streams_get_on_is_not_silent)
@@ -263,7 +263,7 @@
         bench.upstream_.calls_[1]->data(second);
     }
     cr_assert_eq(bench.upstream_.calls_.size(), 2);
-    cr_assert(bench.board_.silentHere().empty());
+    cr_assert(bench.loadTracker_.locallyStalled().empty());
 }
 
 Test(streams, request_without_room_is_held_and_goes_when_there_is_room)
@@ -310,7 +310,7 @@
 {
     GatewayFixture bench;
     bench.addGroup("g-0");
-    bench.book_.remove(VmId("g-0-member"), bench.clock_.now());
+    bench.endpointRegistry_.remove(VmId("g-0-member"), bench.clock_.now());
     bench.ask("/stream/1");
     cr_assert_eq(bench.upstream_.calls_.size(), 0);
 }
@@ -322,11 +322,11 @@
     std::uint16_t port = 100;
     for (const auto *head : {"g-0", "g-1", "g-2", "g-3"}) {
         bench.addGroup(head);
-        auto endpoint = *bench.book_.find(VmId(head));
+        auto endpoint = *bench.endpointRegistry_.find(VmId(head));
         endpoint.address_.port_ = port++;
-        bench.book_.put(endpoint);
+        bench.endpointRegistry_.put(endpoint);
     }
-    const auto kept = bench.book_.find(VmId("g-2"))->address_;
+    const auto kept = bench.endpointRegistry_.find(VmId("g-2"))->address_;
     bench.upstream_.unused_ = {kept};
     bench.ask("/stream/1");
     cr_assert(bench.lastCall()->request_.address_ == kept);
--- a/tests/serving/tables.cpp
+++ b/tests/serving/tables.cpp
@@ -43,11 +43,11 @@
 
 Test(endpoint_book, entry_that_vanishes_after_an_outage_has_a_grace)
 {
-    EndpointBook book;
+    EndpointRegistry book;
     const TimePoint now{seconds(100)};
     book.put(spareEngine("a", "d"));
     book.put(spareEngine("b", "d"));
-    book.excuseAbsence(now + seconds(2));
+    book.tolerateAbsence(now + seconds(2));
     book.remove(VmId("a"), now);
     book.remove(VmId("b"), now);
     book.expire(now + seconds(1));
@@ -60,7 +60,7 @@
 
 Test(endpoint_book, entry_that_vanishes_otherwise_is_gone_at_once)
 {
-    EndpointBook book;
+    EndpointRegistry book;
     book.put(spareEngine("a", "d"));
     const auto before = book.revision();
     book.remove(VmId("a"), TimePoint{seconds(100)});
@@ -70,7 +70,7 @@
 
 Test(endpoint_book, engine_keeps_the_model_of_its_last_group_until_it_starts_anew)
 {
-    EndpointBook book;
+    EndpointRegistry book;
     const auto group = GroupName("m.1");
     book.put(engineIn("e", "d", group, 1, 0, MemberState::Joining));
     book.put(engineIn("e", "d", group, 1, 0, MemberState::Ready));
@@ -88,32 +88,32 @@
 
 Test(load_board, counts_of_silent_peers_lapse)
 {
-    LoadBoard board;
+    LoadTracker board;
     const VmId endpoint("e");
     const TimePoint now{seconds(100)};
     board.started(endpoint, 500, now);
     board.setPeerLoad("p", {{{endpoint, 3}}, {}, {}, now});
-    cr_assert_eq(board.total(endpoint), 4);
+    cr_assert_eq(board.totalRequests(endpoint), 4);
     board.expire(now + seconds(2));
-    cr_assert_eq(board.total(endpoint), 1);
+    cr_assert_eq(board.totalRequests(endpoint), 1);
 }
 
 Test(load_board, unread_tokens_of_all_entry_vms_are_read_at_the_expected_rate)
 {
-    LoadBoard board;
+    LoadTracker board;
     const VmId endpoint("e");
     const TimePoint now{seconds(100)};
     board.started(endpoint, 500, now);
     board.setPeerLoad("p", {{}, {{endpoint, 9000}}, {}, now});
     board.setPeerLoad("p", {{}, {{endpoint, 9300}}, {}, now});
-    cr_assert_float_eq(board.unread(endpoint, 1000, now), 800, 1);
-    cr_assert_float_eq(board.unread(endpoint, 1000, now + milliseconds(300)), 500, 1);
-    cr_assert_float_eq(board.unread(endpoint, 1000, now + seconds(2)), 0, 1);
+    cr_assert_float_eq(board.pendingPromptTokens(endpoint, 1000, now), 800, 1);
+    cr_assert_float_eq(board.pendingPromptTokens(endpoint, 1000, now + milliseconds(300)), 500, 1);
+    cr_assert_float_eq(board.pendingPromptTokens(endpoint, 1000, now + seconds(2)), 0, 1);
 }
 
 Test(load_board, failing_endpoint_is_avoided_and_then_tried_with_one_request)
 {
-    LoadBoard board;
+    LoadTracker board;
     const VmId endpoint("e");
     const TimePoint now{seconds(100)};
     board.failed(endpoint, now);
@@ -128,19 +128,19 @@
 
 Test(load_board, plain_endpoint_is_avoided_only_after_several_errors)
 {
-    LoadBoard board;
+    LoadTracker board;
     const VmId endpoint("e");
     const TimePoint now{seconds(100)};
     for (int i = 0; i < 3; ++i)
-        board.erred(endpoint, LoadBoard::plainErrorWeight, now);
+        board.erred(endpoint, LoadTracker::plainErrorWeight, now);
     cr_assert(board.isUsable(endpoint, now));
-    board.erred(endpoint, LoadBoard::plainErrorWeight, now);
+    board.erred(endpoint, LoadTracker::plainErrorWeight, now);
     cr_assert_not(board.isUsable(endpoint, now));
 }
 
 Test(load_board, endpoint_that_fails_again_and_again_is_avoided_for_longer)
 {
-    LoadBoard board;
+    LoadTracker board;
     const VmId endpoint("e");
     TimePoint now{seconds(100)};
     for (int i = 0; i < 3; ++i) {
--- a/tests/support/gateway_fixture.cpp
+++ b/tests/support/gateway_fixture.cpp
@@ -255,22 +255,22 @@
 }
 
 GatewayFixture::GatewayFixture()
-    : balancer_(book_, board_, upstream_, Random(1))
+    : balancer_(endpointRegistry_, loadTracker_, upstream_, Random(1))
     , metrics_(registry_)
-    , gateway_({clock_, upstream_, dialect_, board_, balancer_, metrics_}, GatewayBounds{},
+    , gateway_({clock_, upstream_, dialect_, loadTracker_, balancer_, metrics_}, GatewayBounds{},
                Random(2))
 {
     gateway_.setRoutes(std::make_shared<RouteTable>(gatewayConfiguration()));
     gateway_.confirm(clock_.now());
-    book_.put(plain("p-0"));
-    book_.put(plain("p-1"));
+    endpointRegistry_.put(plain("p-0"));
+    endpointRegistry_.put(plain("p-1"));
 }
 
 void GatewayFixture::addGroup(const std::string &head, const std::string &model)
 {
     const GroupName group(model + "." + head);
-    book_.put(engineIn(head, "d", group, 1, 0, MemberState::Open));
-    book_.put(engineIn(head + "-member", "d", group, 1, 1, MemberState::Ready));
+    endpointRegistry_.put(engineIn(head, "d", group, 1, 0, MemberState::Open));
+    endpointRegistry_.put(engineIn(head + "-member", "d", group, 1, 1, MemberState::Ready));
 }
 
 std::shared_ptr<CallerView> GatewayFixture::ask(const std::string &path, const std::string &model,
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -117,8 +117,8 @@
     ManualClock clock_;
     FakeDialect dialect_;
     FakeUpstream upstream_;
-    serving::EndpointBook book_;
-    serving::LoadBoard board_;
+    serving::EndpointRegistry endpointRegistry_;
+    serving::LoadTracker loadTracker_;
     serving::Balancer balancer_;
     metrics::Registry registry_;
     serving::GatewayMetrics metrics_;
--- a/tests/support/group_engine_standin.cpp
+++ b/tests/support/group_engine_standin.cpp
@@ -61,7 +61,7 @@
     const auto listed = listedPort_ == 0 ? port() : listedPort_;
     json::object entry{{"Service", service_}, {"Address", "127.0.0.1:" + std::to_string(listed)},
                        {"Zone", "z"},         {"Slots", 8},
-                       {"born", bornAt_},     {"State", isDraining_ ? "draining" : "ready"}};
+                       {"born", startedAt_},  {"State", isDraining_ ? "draining" : "ready"}};
     if (domain_.empty())
         return json::serialize(entry);
     entry["Domain"] = domain_;
@@ -243,7 +243,7 @@
 asio::awaitable<void> GroupEngineStandin::startAgain()
 {
     co_await pauseFor(downTime);
-    ++bornAt_;
+    ++startedAt_;
     isDown_ = false;
     server_.listenAgain();
     list();
--- a/tests/support/group_engine_standin.hpp
+++ b/tests/support/group_engine_standin.hpp
@@ -95,7 +95,7 @@
     std::string domain_;
     std::string staged_;
     std::optional<Group> group_;
-    std::uint64_t bornAt_ = 1;
+    std::uint64_t startedAt_ = 1;
     std::uint64_t fence_ = 0;
     std::uint64_t epochSeen_ = 0;
     bool isSilent_ = false;
--- a/tests/support/node_fleet.cpp
+++ b/tests/support/node_fleet.cpp
@@ -135,9 +135,9 @@
     , address_{"10.0." + std::to_string(index / 200) + "." + std::to_string(index % 200 + 1), 7340}
     , clock_(fleet.clock_, std::chrono::hours(index * 7 % 50))
     , store_(fleet.platform_)
-    , balancer_(book_, board_, upstream_, Random(index))
+    , balancer_(endpointRegistry_, loadTracker_, upstream_, Random(index))
     , metrics_(registry_)
-    , gateway_({clock_, upstream_, dialect_, board_, balancer_, metrics_}, GatewayBounds{},
+    , gateway_({clock_, upstream_, dialect_, loadTracker_, balancer_, metrics_}, GatewayBounds{},
                Random(index))
     , entry_("entry-" + zone + "-" + std::to_string(index))
     , zone_(std::move(zone))
@@ -151,10 +151,10 @@
     lease_ = std::make_unique<leases::LeaseKeeper>(clock_, *this, Random(incarnation.value()),
                                                    plannerLeaseTimes(), entry_, incarnation,
                                                    FabricDomain("fleet"), leaseProgram());
-    manager_
-        = std::make_unique<ReplicaManager>(ManagerParts{clock_, *lease_, *orders_, book_, board_});
+    manager_ = std::make_unique<ReplicaManager>(
+        ManagerParts{clock_, *lease_, *orders_, endpointRegistry_, loadTracker_});
     node_ = std::make_unique<Node>(NodeParts{clock_, *this, *this, fleet_.format_, *this, *lease_,
-                                             book_, board_, gateway_, *manager_},
+                                             endpointRegistry_, loadTracker_, gateway_, *manager_},
                                    NodeSettings{entry_, zone_, incarnation, address_, isFirstStart,
                                                 isLarge_ ? largeCores : smallCores,
                                                 isLarge_ ? largeLink : smallLink,
--- a/tests/support/node_fleet.hpp
+++ b/tests/support/node_fleet.hpp
@@ -184,8 +184,8 @@
     std::size_t storeCalls_ = 0;
     FakeDialect dialect_;
     FakeUpstream upstream_;
-    serving::EndpointBook book_;
-    serving::LoadBoard board_;
+    serving::EndpointRegistry endpointRegistry_;
+    serving::LoadTracker loadTracker_;
     serving::Balancer balancer_;
     metrics::Registry registry_;
     serving::GatewayMetrics metrics_;
