--- a/include/cardamombay/serving/balancer.hpp
+++ b/include/cardamombay/serving/balancer.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Chooses the endpoint for a request, or says that there is no room.
-/// \details Decides by what is under way at each endpoint: a request goes where the least work is,
-/// and is refused rather than queued where it could not be served in time.
+/// \brief Chooses an endpoint for each request or reports that none has capacity.
+/// \details Balances on the load in progress at each endpoint. A request goes to the least loaded
+/// one, and is refused rather than queued where it could not be served in time.
 #pragma once
 
 #include <cardamombay/core/random.hpp>
@@ -21,81 +21,84 @@
 
 namespace cardamombay::serving {
 
-/// \brief What a request needs of its endpoint.
+/// \brief Properties of a request that determine which endpoints may serve it.
 struct RoutingRequest
 {
     const Service *service_ = nullptr;
-    ModelName model_;             ///< For services with engines.
-    std::span<const VmId> tried_; ///< Not again there.
+    ModelName model_;             ///< Only for services with engines.
+    std::span<const VmId> tried_; ///< Endpoints to exclude: earlier attempts went there.
     RequestRegions regions_;
     std::size_t promptTokens_ = 0;
-    Duration goal_{};               ///< Time to the first event that counts as on time.
-    bool wasQueued_ = false;        ///< It has waited here, and is late already.
-    bool hasPartialAnswer_ = false; ///< Its caller has a part of the answer already.
-    /// Endpoints have ended under it. All entry VMs send a suspect to the same endpoint, so that
-    /// one that does end them ends one at a time, and suspects of one end go to different ones.
+    Duration goal_{};               ///< Target for the time to the first event.
+    bool wasQueued_ = false;        ///< It has waited in this entry VM's queue and is already late.
+    bool hasPartialAnswer_ = false; ///< Its caller has already received part of the answer.
+    /// Set if endpoints have crashed while serving it. All entry VMs send a suspect request to the
+    /// same endpoint, so that one that does cause crashes takes down one endpoint at a time.
+    /// Different suspects of one crash go to different endpoints.
     std::optional<RequestFingerprint> suspect_;
-    const SendGate *gate_ = nullptr; ///< Of endpoints with notices; null: there are none.
-    Duration maxWait_{};             ///< For an endpoint that may be sent to later.
-    std::optional<EndpointIncarnation> reserved_; ///< A send there is reserved and may leave now.
+    /// Send restrictions from endpoint notices; null if there are none.
+    const SendGate *gate_ = nullptr;
+    Duration maxWait_{}; ///< Maximum wait for an endpoint that accepts requests later.
+    std::optional<EndpointIncarnation> reserved_; ///< Endpoint with a reserved send that is due.
 };
 
-/// \brief Where a request goes.
+/// \brief The chosen endpoint.
 struct Target
 {
     VmId endpoint_;
     Address address_;
-    Duration stallTimeout_{}; ///< Silence after which the endpoint counts as stalled; zero: never.
-    std::uint64_t startedAt_ = 0;       ///< Of the endpoint, as it lists itself.
-    std::size_t skippedInCooldown_ = 0; ///< Endpoints in a cooldown that it was chosen in place of.
+    Duration stallTimeout_{};     ///< Time without data after which the endpoint counts as stalled;
+                                  ///< zero disables the check.
+    std::uint64_t startedAt_ = 0; ///< Start time of the endpoint, from its entry.
+    /// Number of endpoints that were skipped because of a cooldown.
+    std::size_t skippedInCooldown_ = 0;
 
     [[nodiscard]] EndpointIncarnation incarnation() const { return {endpoint_, startedAt_}; }
 };
 
-/// \brief Why there is no target.
+/// \brief Reason why no endpoint was chosen.
 enum class NoTarget {
-    NoEndpoint, ///< Nothing serves the model or service now.
-    Full,       ///< All that serve have as much as they can do in time.
-    Cooldown,   ///< The cooldown of one that could serve ends in time.
-    NoRegion,   ///< The service has no endpoint in the regions of the request.
+    NoEndpoint, ///< No endpoint currently serves the model or service.
+    Full,       ///< All endpoints that serve it are at capacity.
+    Cooldown,   ///< A suitable endpoint is in a cooldown that ends within the maximum wait.
+    NoRegion,   ///< The service has no endpoint in the request's allowed regions.
 };
 
-/// \brief Only an endpoint that limits the rate of requests has room.
+/// \brief Only a rate-limited endpoint has capacity; a send must be reserved first.
 struct NeedsReservation
 {
     EndpointIncarnation endpoint_;
 };
 
-/// \brief None of the endpoints that could serve the request takes one in time, by their notices.
+/// \brief Endpoint notices rule out all suitable endpoints for longer than the request can wait.
 struct NoEndpointInTime
 {
-    Duration retryAfter_{}; ///< Until the first of them may take one.
+    Duration retryAfter_{}; ///< Until the first of them may accept a request.
     std::string_view reason_;
 };
 
 using Choice = std::variant<Target, NeedsReservation, NoEndpointInTime, NoTarget>;
 
-/// \brief Balances over the endpoints of the book.
+/// \brief Balances requests over the registered endpoints.
 class Balancer
 {
 public:
-    /// \param book, board, connections outlive the balancer.
-    Balancer(const EndpointRegistry &book, const LoadTracker &board,
+    /// \param endpointRegistry, loadTracker, connections must outlive the balancer.
+    Balancer(const EndpointRegistry &endpointRegistry, const LoadTracker &loadTracker,
              const net::UnusedConnections &connections, Random random);
 
-    /// \brief The region of each availability zone.
+    /// \brief Sets the region of each availability zone.
     void setRegions(std::map<AvailabilityZone, RegionName> regions);
 
     [[nodiscard]] Choice choose(const RoutingRequest &request, TimePoint now);
 
-    /// \brief True if the endpoint gets nothing new: it says that it leaves, or is no longer
-    /// listed.
+    /// \brief True if the endpoint gets no new requests because it is draining or no longer listed.
     [[nodiscard]] bool hasLeft(const VmId &endpoint) const;
 
-    /// \brief True if operators empty the endpoint's availability zone.
+    /// \brief True if the endpoint's availability zone is being evacuated.
     [[nodiscard]] bool isEvacuated(const VmId &endpoint) const;
 
-    /// \brief Groups that serve \p model now.
+    /// \brief Number of groups that currently serve \p model.
     [[nodiscard]] std::size_t servingGroups(const Service &service, const ModelName &model);
 
 private:
@@ -105,52 +108,54 @@
         Address address_;
         std::uint64_t startedAt_ = 0;
         ModelName model_;
-        double slowness_ = 1; ///< Factor on a group's times.
+        double slowdown_ = 1; ///< Factor applied to a group's predicted times.
         RegionName region_;
 
         [[nodiscard]] EndpointIncarnation incarnation() const { return {endpoint_, startedAt_}; }
     };
-    struct Derived
+    struct CandidateCache
     {
         std::uint64_t revision_ = 0;
         std::vector<Candidate> candidates_;
     };
 
     [[nodiscard]] const std::vector<Candidate> &candidatesOf(const Service &service);
-    [[nodiscard]] std::vector<Candidate> derive(const Service &service) const;
+    [[nodiscard]] std::vector<Candidate> buildCandidates(const Service &service) const;
     struct Usable
     {
         std::vector<const Candidate *> candidates_;
-        std::size_t cooling_ = 0;               ///< Candidates that were left out.
-        std::optional<Duration> soonestCooled_; ///< Until the first of these takes requests.
+        std::size_t inCooldown_ = 0; ///< Number of candidates excluded because of a cooldown.
+        /// Time until the first of these cooldowns ends.
+        std::optional<Duration> earliestCooldownEnd_;
     };
 
     [[nodiscard]] RegionName regionOf(const Endpoint &endpoint) const;
     [[nodiscard]] bool isOutOfRegion(const RoutingRequest &request) const;
-    [[nodiscard]] Usable usable(const RoutingRequest &request, TimePoint now);
-    [[nodiscard]] Choice whenCooled(Duration soonest, const RoutingRequest &request);
-    [[nodiscard]] Choice chooseAdvised(std::vector<const Candidate *> candidates,
-                                       const RoutingRequest &request, TimePoint now);
-    [[nodiscard]] Choice chooseUsable(std::vector<const Candidate *> candidates,
-                                      const RoutingRequest &request, TimePoint now);
+    [[nodiscard]] Usable usableCandidates(const RoutingRequest &request, TimePoint now);
+    [[nodiscard]] Choice afterCooldown(Duration remaining, const RoutingRequest &request);
+    [[nodiscard]] Choice chooseByPriority(std::vector<const Candidate *> candidates,
+                                          const RoutingRequest &request, TimePoint now);
+    [[nodiscard]] Choice chooseUnlimitedFirst(std::vector<const Candidate *> candidates,
+                                              const RoutingRequest &request, TimePoint now);
     [[nodiscard]] const Candidate *best(const std::vector<const Candidate *> &candidates,
                                         const RoutingRequest &request, TimePoint now);
     [[nodiscard]] Choice chooseLimited(const std::vector<const Candidate *> &limited,
                                        const RoutingRequest &request, TimePoint now);
     [[nodiscard]] const Candidate *leastLoaded(const std::vector<const Candidate *> &candidates,
                                                std::size_t limit);
-    [[nodiscard]] static const Candidate *first(const std::vector<const Candidate *> &candidates,
-                                                const RequestFingerprint &suspect);
-    [[nodiscard]] const Candidate *soonest(std::vector<const Candidate *> candidates,
-                                           const RoutingRequest &request, TimePoint now);
+    [[nodiscard]] static const Candidate *
+    highestRanked(const std::vector<const Candidate *> &candidates,
+                  const RequestFingerprint &suspect);
+    [[nodiscard]] const Candidate *lowestLatency(std::vector<const Candidate *> candidates,
+                                                 const RoutingRequest &request, TimePoint now);
     [[nodiscard]] bool hasRoom(const Candidate &candidate, const RoutingRequest &request,
                                TimePoint now) const;
     [[nodiscard]] Duration cost(const Candidate &candidate, const RoutingRequest &request,
                                 TimePoint now) const;
     [[nodiscard]] Duration timeToFirst(const Candidate &candidate, const RoutingRequest &request,
                                        TimePoint now) const;
-    [[nodiscard]] std::size_t usualPrompt(const RoutingRequest &request) const;
-    void notePrompt(const RoutingRequest &request);
+    [[nodiscard]] std::size_t typicalPromptTokens(const RoutingRequest &request) const;
+    void recordPromptSize(const RoutingRequest &request);
     [[nodiscard]] Duration backlog(const Candidate &candidate, const EngineProfile &profile,
                                    TimePoint now) const;
 
@@ -159,8 +164,8 @@
     const net::UnusedConnections &connections_;
     Random random_;
     std::map<AvailabilityZone, RegionName> regions_;
-    std::map<ServiceName, Derived> derived_;
-    std::map<ServiceName, double> seenPrompts_; ///< Mean tokens of the last ones.
+    std::map<ServiceName, CandidateCache> candidateCaches_;
+    std::map<ServiceName, double> meanPromptTokens_; ///< Moving average of prompt sizes in tokens.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/load_tracker.hpp
+++ b/include/cardamombay/serving/load_tracker.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief What this entry VM has under way at each endpoint, and whether it gets on.
-/// \details Decides whether an endpoint is silent: it has work of ours and nothing has come from it
-/// for longer than a healthy one ever pauses. A silent endpoint gets nothing new for a while, then
-/// a single request as a trial.
+/// \brief Tracks the load and progress of requests at each endpoint.
+/// \details Detects stalled endpoints: an endpoint with requests in progress that has sent nothing
+/// for longer than a healthy one ever pauses. A stalled endpoint gets no new requests for a while,
+/// then a single trial request.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -17,114 +17,117 @@
 
 namespace cardamombay::serving {
 
-/// \brief Work under way by endpoint; belongs to one thread.
+/// \brief Requests in progress by endpoint. Not thread-safe.
 class LoadTracker
 {
 public:
-    /// A group that fails one request is avoided at once: the next one is mostly as good.
+    /// A group that fails one request is avoided at once, since another group usually serves as
+    /// well.
     static constexpr double groupErrorWeight = 0.4;
-    /// Plain services fail some requests by their nature, whichever endpoint gets them, so it takes
-    /// four in a row.
+    /// Some requests to plain services fail at any endpoint, so an endpoint is only avoided after
+    /// four consecutive failures.
     static constexpr double plainErrorWeight = 0.12;
 
-    /// \name Events of attempts
+    /// \name Attempt events
     /// \{
-    /// \param promptTokens what the endpoint has to read first.
+    /// \param promptTokens tokens that the endpoint has to prefill.
     void started(const VmId &endpoint, std::size_t promptTokens, TimePoint now);
-    /// \brief Something came: an event, a head, a whole answer.
+    /// \brief The endpoint sent data: a response head, an event or a complete response.
     void progressed(const VmId &endpoint, TimePoint now);
     void ended(const VmId &endpoint);
-    /// \brief The endpoint gave a whole answer that is no failure of its own.
+    /// \brief The endpoint completed a response without an error of its own.
     void succeeded(const VmId &endpoint);
-    /// \brief The endpoint answered with a failure of its own; it is avoided if that is frequent.
-    /// \param weight of this answer in the rate of failures.
+    /// \brief The endpoint responded with an error of its own; it is avoided if errors are
+    /// frequent.
+    /// \param weight weight of this response in the error rate.
     void erred(const VmId &endpoint, double weight, TimePoint now);
-    /// \brief The endpoint failed an attempt.
+    /// \brief An attempt at the endpoint failed.
     void failed(const VmId &endpoint, TimePoint now);
-    /// \brief A stream there paused for longer than a healthy endpoint ever does.
+    /// \brief A stream paused for longer than it ever does at a healthy endpoint.
     void stalled(const VmId &endpoint, TimePoint now);
-    /// \brief The endpoint's process has ended. Nothing more goes to this life of it.
+    /// \brief The endpoint's process crashed. This incarnation gets no further requests.
     void crashed(const EndpointIncarnation &endpoint, TimePoint now);
-    /// \brief The endpoint has started again: it has nothing to read, and none of its failures.
+    /// \brief The endpoint restarted: clears its pending prompt tokens and failures.
     void restarted(const VmId &endpoint);
     /// \}
 
-    /// \brief What a peer has under way and has sent, and the endpoints that are silent there.
+    /// \brief Load reported by a peer, and the endpoints that are stalled there.
     struct PeerLoad
     {
         std::unordered_map<VmId, std::size_t> counts_;
-        std::unordered_map<VmId, std::size_t> sent_; ///< Prompt tokens since it started.
+        std::unordered_map<VmId, std::size_t> sent_; ///< Prompt tokens sent since the peer started.
         std::vector<VmId> silent_;
         TimePoint at_{};
-        std::size_t entries_ = 1;                       ///< Entry VMs that it is the sum of.
-        std::unordered_map<VmId, std::size_t> heard_{}; ///< Those that hear from an endpoint.
+        std::size_t entries_ = 1; ///< Number of entry VMs in this sum.
+        /// Entry VMs that receive data from an endpoint.
+        std::unordered_map<VmId, std::size_t> heard_{};
     };
 
-    /// \brief Takes the news of a peer, in place of its earlier ones.
+    /// \brief Replaces the last report of a peer.
     void setPeerLoad(const std::string &peer, PeerLoad load);
 
-    /// \brief Drops the news of all peers, since they will come from others.
+    /// \brief Drops the reports of all peers, since later ones come from other senders.
     void forgetPeers() { peers_.clear(); }
 
-    /// \brief Drops endpoints without work that nothing was heard of for long.
+    /// \brief Removes idle endpoints, outdated peer reports and old crashes.
     void expire(TimePoint now);
 
     /// \name State
     /// \{
-    /// \brief Requests that this entry VM has there.
+    /// \brief Requests of this entry VM in progress at the endpoint.
     [[nodiscard]] std::size_t ownRequests(const VmId &endpoint) const;
-    /// \brief Requests that all entry VMs have there, as far as is known.
+    /// \brief Known requests of all entry VMs in progress at the endpoint.
     [[nodiscard]] std::size_t totalRequests(const VmId &endpoint) const;
-    /// \brief Prompt tokens of all entry VMs that the endpoint has still to read, if it reads
-    /// \p tokensPerSecond.
+    /// \brief Prompt tokens of all entry VMs that the endpoint has yet to prefill, assuming it
+    /// processes \p tokensPerSecond.
     [[nodiscard]] double pendingPromptTokens(const VmId &endpoint, double tokensPerSecond,
                                              TimePoint now) const;
-    /// \brief Endpoints that stalled here and were not heard since.
+    /// \brief Endpoints that stalled at this entry VM and have sent nothing since.
     [[nodiscard]] std::vector<VmId> locallyStalled() const;
-    /// \brief Endpoints that stand still: streams stalled at this entry VM or a peer, and nobody
-    /// hears from them.
+    /// \brief Endpoints with stalled streams at this entry VM or a peer that no entry VM receives
+    /// data from.
     [[nodiscard]] std::vector<VmId> stalledEverywhere(TimePoint now) const;
-    /// \brief Endpoints that have sent something just now to requests that are still there.
+    /// \brief Endpoints that have recently sent data to requests still in progress.
     [[nodiscard]] std::unordered_map<VmId, std::size_t> locallyActive(TimePoint now) const;
-    /// \brief False while the endpoint is avoided after a failure.
+    /// \brief False while the endpoint is avoided after a failure or on trial.
     [[nodiscard]] bool isUsable(const VmId &endpoint, TimePoint now) const;
-    /// \brief True if this life of the endpoint is known to have ended.
-    [[nodiscard]] bool hasCrashed(const VmId &endpoint, std::uint64_t bornAt) const;
-    /// \brief When something came from the endpoint last; the epoch if never.
+    /// \brief True if this incarnation of the endpoint is known to have crashed.
+    [[nodiscard]] bool hasCrashed(const VmId &endpoint, std::uint64_t startedAt) const;
+    /// \brief When the endpoint last sent data; the epoch if never.
     [[nodiscard]] TimePoint lastProgressAt(const VmId &endpoint) const;
-    /// \brief Entry VMs whose counts are known, self not included.
+    /// \brief Number of other entry VMs whose counts are known.
     [[nodiscard]] std::size_t peerCount() const;
-    /// \brief Own counts, for peers.
+    /// \brief Requests of this entry VM by endpoint, reported to peers.
     [[nodiscard]] std::unordered_map<VmId, std::size_t> ownRequestCounts() const;
-    /// \brief Prompt tokens sent since this process started, for peers; of endpoints that got any
-    /// lately.
+    /// \brief Prompt tokens sent since this process started, reported to peers; only endpoints that
+    /// received some recently.
     [[nodiscard]] std::unordered_map<VmId, std::size_t> ownSentTokens(TimePoint now) const;
     /// \}
 
 private:
     struct Entry
     {
-        std::size_t own_ = 0;
-        std::size_t sent_ = 0; ///< Prompt tokens since this process started.
+        std::size_t ownRequests_ = 0;
+        std::size_t sent_ = 0; ///< Prompt tokens sent since this process started.
         TimePoint sentAt_{};
-        double unread_ = 0; ///< Prompt tokens of all entry VMs, as of unreadAt_.
-        TimePoint unreadAt_{};
-        double readRate_ = 0; ///< Tokens a second, as last told.
-        TimePoint heardAt_{};
+        double pendingTokens_ = 0; ///< Pending prompt tokens of all entry VMs as of pendingAsOf_.
+        TimePoint pendingAsOf_{};
+        double prefillTokensPerSecond_ = 0; ///< Last rate passed to pendingPromptTokens().
+        TimePoint progressedAt_{};
         TimePoint avoidUntil_{};
-        double failures_ = 0; ///< Lately; a success takes a part of one away.
+        double failures_ = 0; ///< Decaying count; a success subtracts part of a failure.
         double errorRate_ = 0;
         bool isOnTrial_ = false;
-        bool isSilent_ = false;
+        bool isStalled_ = false;
     };
-    [[nodiscard]] bool isHeard(const VmId &endpoint, TimePoint now) const;
-    static void addUnread(Entry &entry, double tokens, TimePoint now);
+    [[nodiscard]] bool isActiveAnywhere(const VmId &endpoint, TimePoint now) const;
+    static void addPendingTokens(Entry &entry, double tokens, TimePoint now);
 
-    /// Mutable for the rate at which a balancer expects an endpoint to read.
+    /// Mutable because pendingPromptTokens() updates the token count and rate.
     mutable std::unordered_map<VmId, Entry> entries_;
     struct Crash
     {
-        std::uint64_t startedAt_ = 0; ///< Of the life that ended.
+        std::uint64_t startedAt_ = 0; ///< Start time of the crashed incarnation.
         TimePoint at_{};
     };
     std::unordered_map<VmId, Crash> crashed_;
--- a/src/serving/balancer.cpp
+++ b/src/serving/balancer.cpp
@@ -9,50 +9,54 @@
 
 namespace {
 
-/// Requests that may wait at a group beyond its batch, as a share of the batch: an eighth of it is
-/// free again after an eighth of the time that an answer lasts.
-constexpr double waitingShare = 0.12;
+/// Requests that may queue at a group beyond its batch, as a share of the batch: an eighth of the
+/// batch becomes free within an eighth of the duration of an answer.
+constexpr double queueShare = 0.12;
 
-/// The same for requests whose caller has a part of the answer: a broken answer is lost whole.
-constexpr double begunWaitingShare = 0.4;
+/// The same for requests whose caller already has part of the answer: if such an answer breaks off,
+/// the whole answer is lost.
+constexpr double partialAnswerQueueShare = 0.4;
 
-/// Part of the goal that the predicted time to the first event may take; the rest is for the
-/// network.
+/// Share of the target time that the predicted time to the first event may use; the rest is left
+/// for the network.
 constexpr double goalShare = 0.92;
-/// A request comes in the middle of a pass, and its first event at the end of the next one.
-constexpr double passesToFirstEvent = 1.5;
-/// Share of its time that a busy group spends reading; the rest are the steps of those that write.
+/// On average a request arrives in the middle of a pass, and its first event is sent at the end of
+/// the next one.
+constexpr double passesBeforeFirstEvent = 1.5;
+/// Share of its time that a busy group spends on prefill; the rest goes to decoding.
 constexpr double readingShare = 0.8;
-/// Share of the goal that may wait at a group which a held request is sent to: what can still be on
-/// time goes first.
-constexpr double heldBacklogShare = 0.2;
-
-/// Requests that may wait at a plain endpoint, as a share of its slots: one more round.
-constexpr double plainWaitingShare = 1.0;
-
-/// Groups that are compared at least; two random choices already avoid the worst.
-constexpr std::size_t leastDraws = 2;
-/// So many entry VMs send about one request to a group between two digests and may compare all
-/// groups.
-constexpr std::size_t entriesThatSeeAll = 8;
-
-/// A new connection is priced, and takes an engine's time as well; a third of a pass.
+/// Maximum backlog, as a share of the target time, of a group that gets a queued request: requests
+/// that can still be on time take precedence.
+constexpr double queuedBacklogShare = 0.2;
+
+/// Requests that may queue at a plain endpoint, as a share of its slots: one more round of
+/// requests.
+constexpr double plainQueueShare = 1.0;
+
+/// Minimum number of groups compared: two random choices are enough to avoid the worst.
+constexpr std::size_t minDraws = 2;
+/// Up to this many entry VMs together send about one request to a group between two digests, so
+/// each may compare all groups.
+constexpr std::size_t entriesComparingAll = 8;
+
+/// Cost of a new connection in terms of time, a third of a pass: connections are billed and also
+/// take up the engine's time.
 constexpr Duration newConnectionCost = std::chrono::milliseconds(20);
 
-/// Share of the newest prompt in the mean of those seen here: some fifty requests.
-constexpr double promptWeight = 0.02;
+/// Weight of a new prompt in the moving average, which covers about 50 requests.
+constexpr double newPromptWeight = 0.02;
 
-std::size_t withWaiting(std::size_t slots, double share)
+std::size_t withQueue(std::size_t slots, double share)
 {
     return slots + static_cast<std::size_t>(static_cast<double>(slots) * share);
 }
 
 } // namespace
 
-Balancer::Balancer(const EndpointRegistry &book, const LoadTracker &board,
+Balancer::Balancer(const EndpointRegistry &endpointRegistry, const LoadTracker &loadTracker,
                    const net::UnusedConnections &connections, Random random)
-    : endpointRegistry_(book)
-    , loadTracker_(board)
+    : endpointRegistry_(endpointRegistry)
+    , loadTracker_(loadTracker)
     , connections_(connections)
     , random_(random)
 {
@@ -61,7 +65,7 @@
 void Balancer::setRegions(std::map<AvailabilityZone, RegionName> regions)
 {
     regions_ = std::move(regions);
-    derived_.clear();
+    candidateCaches_.clear();
 }
 
 RegionName Balancer::regionOf(const Endpoint &endpoint) const
@@ -70,7 +74,7 @@
     return found == regions_.end() ? RegionName() : found->second;
 }
 
-/// Unlike an endpoint that is only full or lost, one in an allowed region will not come by itself.
+/// Unlike a lack of capacity or a lost endpoint, a missing region does not resolve itself.
 bool Balancer::isOutOfRegion(const RoutingRequest &request) const
 {
     if (!request.regions_.isBound())
@@ -81,7 +85,7 @@
     });
 }
 
-std::vector<Balancer::Candidate> Balancer::derive(const Service &service) const
+std::vector<Balancer::Candidate> Balancer::buildCandidates(const Service &service) const
 {
     std::vector<Candidate> result;
     const auto endpoints = endpointRegistry_.ofService(service.name_);
@@ -99,7 +103,7 @@
     }
     for (const auto &group : groupsOf(endpoints)) {
         const auto *model = service.engine_->model(group.model_);
-        // No group serves while any of its members is missing.
+        // A group cannot serve while any of its members is missing.
         if (model == nullptr || group.state() != MemberState::Open
             || !group.isComplete(model->members_) || !endpointRegistry_.takesRequests(*group.head_))
             continue;
@@ -112,12 +116,12 @@
 
 const std::vector<Balancer::Candidate> &Balancer::candidatesOf(const Service &service)
 {
-    auto &derived = derived_[service.name_];
-    if (derived.revision_ != endpointRegistry_.revision()) {
-        derived.candidates_ = derive(service);
-        derived.revision_ = endpointRegistry_.revision();
+    auto &cache = candidateCaches_[service.name_];
+    if (cache.revision_ != endpointRegistry_.revision()) {
+        cache.candidates_ = buildCandidates(service);
+        cache.revision_ = endpointRegistry_.revision();
     }
-    return derived.candidates_;
+    return cache.candidates_;
 }
 
 bool Balancer::hasLeft(const VmId &endpoint) const
@@ -140,7 +144,7 @@
                       [&model](const Candidate &one) { return one.model_ == model; }));
 }
 
-Balancer::Usable Balancer::usable(const RoutingRequest &request, TimePoint now)
+Balancer::Usable Balancer::usableCandidates(const RoutingRequest &request, TimePoint now)
 {
     Usable result;
     std::vector<const Candidate *> avoided;
@@ -154,44 +158,44 @@
               != request.tried_.end();
         if (wasTried || loadTracker_.hasCrashed(candidate.endpoint_, candidate.startedAt_))
             continue;
-        const auto barred = request.gate_ == nullptr
-                                ? std::nullopt
-                                : request.gate_->sendBlock(candidate.incarnation(), now);
-        if (barred) {
-            if (barred->reason_ == SendBlock::Reason::Cooldown) {
-                ++result.cooling_;
-                result.soonestCooled_
-                    = std::min(result.soonestCooled_.value_or(barred->left_), barred->left_);
+        const auto block = request.gate_ == nullptr
+                               ? std::nullopt
+                               : request.gate_->sendBlock(candidate.incarnation(), now);
+        if (block) {
+            if (block->reason_ == SendBlock::Reason::Cooldown) {
+                ++result.inCooldown_;
+                result.earliestCooldownEnd_
+                    = std::min(result.earliestCooldownEnd_.value_or(block->left_), block->left_);
             }
             continue;
         }
         auto &list = loadTracker_.isUsable(candidate.endpoint_, now) ? result.candidates_ : avoided;
         list.push_back(&candidate);
     }
-    // A plain endpoint that fails often still serves more than none. A request for a group waits
-    // instead until one of the groups is tried again.
+    // A plain endpoint that often fails is still better than none. A request for a group waits
+    // instead until an avoided group may be tried again.
     if (result.candidates_.empty() && !request.service_->engine_)
         result.candidates_ = std::move(avoided);
     return result;
 }
 
-/// Tokens: the operators' figure, or else the mean of the prompts that came here.
-std::size_t Balancer::usualPrompt(const RoutingRequest &request) const
+/// Configured typical prompt size in tokens, or else the average of the prompts received here.
+std::size_t Balancer::typicalPromptTokens(const RoutingRequest &request) const
 {
     const auto declared = request.service_->engine_->usualPrompt_;
     if (declared > 0)
         return declared;
-    const auto seen = seenPrompts_.find(request.service_->name_);
-    return seen == seenPrompts_.end() ? request.promptTokens_
-                                      : static_cast<std::size_t>(seen->second);
+    const auto average = meanPromptTokens_.find(request.service_->name_);
+    return average == meanPromptTokens_.end() ? request.promptTokens_
+                                              : static_cast<std::size_t>(average->second);
 }
 
-void Balancer::notePrompt(const RoutingRequest &request)
+void Balancer::recordPromptSize(const RoutingRequest &request)
 {
     const auto tokens = static_cast<double>(request.promptTokens_);
-    const auto [seen, isFirst] = seenPrompts_.try_emplace(request.service_->name_, tokens);
+    const auto [average, isFirst] = meanPromptTokens_.try_emplace(request.service_->name_, tokens);
     if (!isFirst)
-        seen->second += (tokens - seen->second) * promptWeight;
+        average->second += (tokens - average->second) * newPromptWeight;
 }
 
 Duration Balancer::backlog(const Candidate &candidate, const EngineProfile &profile,
@@ -199,11 +203,11 @@
 {
     const auto *model = profile.model(candidate.model_);
     const double rate
-        = profile.readTokensPerSecond_ * readingShare / (model->pace_ * candidate.slowness_);
+        = profile.readTokensPerSecond_ * readingShare / (model->pace_ * candidate.slowdown_);
     return fromSeconds(loadTracker_.pendingPromptTokens(candidate.endpoint_, rate, now) / rate);
 }
 
-/// Time to the first event if the request goes to the group now.
+/// Predicted time to the first event if the request is sent to the group now.
 Duration Balancer::timeToFirst(const Candidate &candidate, const RoutingRequest &request,
                                TimePoint now) const
 {
@@ -211,30 +215,30 @@
     const EngineModel model(profile, *profile.model(candidate.model_));
     const auto pass = model.pauseBetweenEvents(loadTracker_.totalRequests(candidate.endpoint_) + 1,
                                                model.usualContext());
-    // Large prompts are no reason to wait longer than small ones: all are weighed at the usual
+    // Large prompts must not wait longer than small ones, so none counts as more than the typical
     // size.
-    const auto own = model.readTime(std::min(request.promptTokens_, usualPrompt(request)));
-    const double work = toSeconds(pass) * passesToFirstEvent + toSeconds(own);
-    return fromSeconds(work * candidate.slowness_) + backlog(candidate, profile, now);
+    const auto own = model.readTime(std::min(request.promptTokens_, typicalPromptTokens(request)));
+    const double work = toSeconds(pass) * passesBeforeFirstEvent + toSeconds(own);
+    return fromSeconds(work * candidate.slowdown_) + backlog(candidate, profile, now);
 }
 
 bool Balancer::hasRoom(const Candidate &candidate, const RoutingRequest &request,
                        TimePoint now) const
 {
     const auto &profile = *request.service_->engine_;
-    const auto share = request.hasPartialAnswer_ ? begunWaitingShare : waitingShare;
-    const auto limit = request.wasQueued_ ? profile.slots_ : withWaiting(profile.slots_, share);
+    const auto share = request.hasPartialAnswer_ ? partialAnswerQueueShare : queueShare;
+    const auto limit = request.wasQueued_ ? profile.slots_ : withQueue(profile.slots_, share);
     if (loadTracker_.totalRequests(candidate.endpoint_) >= limit)
         return false;
     if (request.hasPartialAnswer_)
         return true;
     const auto goal = toSeconds(request.goal_);
     if (request.wasQueued_)
-        return toSeconds(backlog(candidate, profile, now)) <= goal * heldBacklogShare;
+        return toSeconds(backlog(candidate, profile, now)) <= goal * queuedBacklogShare;
     return toSeconds(timeToFirst(candidate, request, now)) <= goal * goalShare;
 }
 
-/// Time to the first event, and what a new connection is worth in such time.
+/// Predicted time to the first event, plus the cost of a new connection if one is needed.
 Duration Balancer::cost(const Candidate &candidate, const RoutingRequest &request,
                         TimePoint now) const
 {
@@ -242,8 +246,8 @@
     return connections_.hasUnused(candidate.address_) ? time : time + newConnectionCost;
 }
 
-const Balancer::Candidate *Balancer::first(const std::vector<const Candidate *> &candidates,
-                                           const RequestFingerprint &suspect)
+const Balancer::Candidate *Balancer::highestRanked(const std::vector<const Candidate *> &candidates,
+                                                   const RequestFingerprint &suspect)
 {
     const auto key = suspect.text();
     const Candidate *best = nullptr;
@@ -258,30 +262,31 @@
     return best;
 }
 
-/// The best of some groups that have room: a few drawn at random, and one more that a connection
-/// leads to. What is known of the peers' requests is a digest old; if many entry VMs took the very
-/// best, it would be overrun until the next one.
-const Balancer::Candidate *Balancer::soonest(std::vector<const Candidate *> candidates,
-                                             const RoutingRequest &request, TimePoint now)
+/// Returns the best of a few randomly drawn groups with capacity, including at least one with an
+/// open connection if there is any. Peer loads are as old as the last digest, so the best group
+/// would be overloaded until the next one if many entry VMs chose it.
+const Balancer::Candidate *Balancer::lowestLatency(std::vector<const Candidate *> candidates,
+                                                   const RoutingRequest &request, TimePoint now)
 {
     std::erase_if(candidates,
                   [&](const Candidate *candidate) { return !hasRoom(*candidate, request, now); });
     if (request.suspect_)
-        return first(candidates, *request.suspect_);
+        return highestRanked(candidates, *request.suspect_);
     const auto entries = loadTracker_.peerCount() + 1;
-    const auto draws = std::max(leastDraws, candidates.size() * entriesThatSeeAll / entries);
+    const auto draws = std::max(minDraws, candidates.size() * entriesComparingAll / entries);
     const Candidate *best = nullptr;
     Duration least{};
-    bool isConnected = false;
-    for (std::size_t drawn = 0; !candidates.empty() && (drawn < draws || !isConnected); ++drawn) {
+    bool hasConnectedCandidate = false;
+    for (std::size_t drawn = 0; !candidates.empty() && (drawn < draws || !hasConnectedCandidate);
+         ++drawn) {
         const auto index = random_.below(candidates.size());
         const auto *candidate = candidates[index];
         candidates[index] = candidates.back();
         candidates.pop_back();
-        const bool leadsThere = connections_.hasUnused(candidate->address_);
-        if (drawn >= draws && !leadsThere)
+        const bool hasConnection = connections_.hasUnused(candidate->address_);
+        if (drawn >= draws && !hasConnection)
             continue;
-        isConnected = isConnected || leadsThere;
+        hasConnectedCandidate = hasConnectedCandidate || hasConnection;
         const auto weighed = cost(*candidate, request, now);
         if (best == nullptr || weighed < least) {
             best = candidate;
@@ -316,9 +321,9 @@
     if (candidates.empty())
         return nullptr;
     if (request.service_->engine_)
-        return soonest(candidates, request, now);
+        return lowestLatency(candidates, request, now);
     const auto *endpoint = endpointRegistry_.find(candidates.front()->endpoint_);
-    return leastLoaded(candidates, withWaiting(endpoint->slots_, plainWaitingShare));
+    return leastLoaded(candidates, withQueue(endpoint->slots_, plainQueueShare));
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/balancer_choice.cpp
+++ b/src/serving/balancer_choice.cpp
@@ -1,5 +1,4 @@
-// The last half of Balancer: in which order endpoints are tried by what they have said of
-// themselves.
+// Second part of Balancer: prioritizes endpoints by their notices.
 #include <cardamombay/serving/balancer.hpp>
 #include <cardamombay/serving/engine_model.hpp>
 
@@ -10,100 +9,103 @@
 
 namespace {
 
-/// A healthy group with much to read pauses for a whole pass at most; a third more is a stall.
+/// A healthy group with much prefill work pauses for at most one pass; a pause a third longer
+/// counts as a stall.
 constexpr double stallFactor = 1.3;
 constexpr Duration networkAllowance = std::chrono::milliseconds(20);
 
-/// Callers that are told of the end of a cooldown come back within this time after it, at the most.
-constexpr Duration longestReturnSpread = std::chrono::seconds(2);
+/// Maximum time after the end of a cooldown over which the retries of callers are spread.
+constexpr Duration maxReturnSpread = std::chrono::seconds(2);
 
-Duration patienceOf(const Service &service, const ModelName &name, double slowness)
+Duration stallTimeoutOf(const Service &service, const ModelName &name, double slowdown)
 {
     const auto *model = service.engine_ ? service.engine_->model(name) : nullptr;
     if (model == nullptr)
         return Duration::zero();
     const auto pause = EngineModel(*service.engine_, *model).longestPause();
-    return fromSeconds(toSeconds(pause) * slowness * stallFactor) + networkAllowance;
+    return fromSeconds(toSeconds(pause) * slowdown * stallFactor) + networkAllowance;
 }
 
 } // namespace
 
-/// An endpoint that limits its rate is short of something, so the others go first.
+/// Used only if no unlimited endpoint has capacity, since a rate limit indicates a shortage at the
+/// endpoint.
 Choice Balancer::chooseLimited(const std::vector<const Candidate *> &limited,
                                const RoutingRequest &request, TimePoint now)
 {
     std::vector<const Candidate *> open;
-    std::optional<Duration> soonestFree;
+    std::optional<Duration> earliestRetry;
     for (const auto *candidate : limited) {
         const auto timeUntilCapacity
             = request.gate_->timeUntilCapacity(candidate->incarnation(), request.maxWait_);
         if (!timeUntilCapacity)
             open.push_back(candidate);
-        else if (!soonestFree || *timeUntilCapacity < *soonestFree)
-            soonestFree = timeUntilCapacity;
+        else if (!earliestRetry || *timeUntilCapacity < *earliestRetry)
+            earliestRetry = timeUntilCapacity;
     }
     if (const auto *candidate = best(open, request, now))
         return NeedsReservation{candidate->incarnation()};
-    // Where one has its rate left but no place, a place may become free at any moment.
-    if (open.empty() && soonestFree)
-        return NoEndpointInTime{*soonestFree, "all endpoints have reached their limits"};
+    // If an endpoint is within its rate limit but full, a slot may become free at any time.
+    if (open.empty() && earliestRetry)
+        return NoEndpointInTime{*earliestRetry, "all endpoints have reached their limits"};
     return NoTarget::Full;
 }
 
-/// Callers are spread over some time after the cooldown, or they would all return at its end.
-Choice Balancer::whenCooled(Duration soonest, const RoutingRequest &request)
+/// Adds jitter so that callers do not all retry at the end of the cooldown.
+Choice Balancer::afterCooldown(Duration remaining, const RoutingRequest &request)
 {
-    if (soonest <= request.maxWait_)
+    if (remaining <= request.maxWait_)
         return NoTarget::Cooldown;
-    const auto spread = std::min(longestReturnSpread, soonest / 2);
-    return NoEndpointInTime{soonest + fromSeconds(toSeconds(spread) * random_.unit()),
+    const auto spread = std::min(maxReturnSpread, remaining / 2);
+    return NoEndpointInTime{remaining + fromSeconds(toSeconds(spread) * random_.unit()),
                             "all endpoints ask to be left alone"};
 }
 
 Choice Balancer::choose(const RoutingRequest &request, TimePoint now)
 {
     if (request.service_->engine_)
-        notePrompt(request);
-    auto found = usable(request, now);
+        recordPromptSize(request);
+    auto found = usableCandidates(request, now);
     if (found.candidates_.empty() && isOutOfRegion(request))
         return NoTarget::NoRegion;
     if (found.candidates_.empty())
-        return found.soonestCooled_ ? whenCooled(*found.soonestCooled_, request)
-                                    : Choice(NoTarget::NoEndpoint);
-    auto choice = chooseAdvised(std::move(found.candidates_), request, now);
+        return found.earliestCooldownEnd_ ? afterCooldown(*found.earliestCooldownEnd_, request)
+                                          : Choice(NoTarget::NoEndpoint);
+    auto choice = chooseByPriority(std::move(found.candidates_), request, now);
     if (auto *target = std::get_if<Target>(&choice))
-        target->skippedInCooldown_ = found.cooling_;
-    // A cooldown may end before a limit leaves room.
+        target->skippedInCooldown_ = found.inCooldown_;
+    // A cooldown may end before a rate limit allows the next send.
     const auto *none = std::get_if<NoEndpointInTime>(&choice);
-    if (none != nullptr && found.soonestCooled_ && *found.soonestCooled_ < none->retryAfter_)
-        return whenCooled(*found.soonestCooled_, request);
+    if (none != nullptr && found.earliestCooldownEnd_
+        && *found.earliestCooldownEnd_ < none->retryAfter_)
+        return afterCooldown(*found.earliestCooldownEnd_, request);
     return choice;
 }
 
-/// Endpoints that turned peers away come last: they may take requests from here, and are the only
-/// ones at times.
-Choice Balancer::chooseAdvised(std::vector<const Candidate *> candidates,
-                               const RoutingRequest &request, TimePoint now)
+/// Endpoints that refused peers come last. They may still accept requests from here and may be the
+/// only ones available.
+Choice Balancer::chooseByPriority(std::vector<const Candidate *> candidates,
+                                  const RoutingRequest &request, TimePoint now)
 {
-    const auto first
+    const auto firstDeprioritized
         = std::partition(candidates.begin(), candidates.end(), [&](const Candidate *candidate) {
               return request.gate_ == nullptr
                      || !request.gate_->isDeprioritized(candidate->incarnation(), now);
           });
-    std::vector<const Candidate *> last(first, candidates.end());
-    candidates.erase(first, candidates.end());
-    if (last.empty())
-        return chooseUsable(std::move(candidates), request, now);
+    std::vector<const Candidate *> deprioritized(firstDeprioritized, candidates.end());
+    candidates.erase(firstDeprioritized, candidates.end());
+    if (deprioritized.empty())
+        return chooseUnlimitedFirst(std::move(candidates), request, now);
     if (candidates.empty())
-        return chooseUsable(std::move(last), request, now);
-    auto choice = chooseUsable(std::move(candidates), request, now);
+        return chooseUnlimitedFirst(std::move(deprioritized), request, now);
+    auto choice = chooseUnlimitedFirst(std::move(candidates), request, now);
     if (std::holds_alternative<Target>(choice) || std::holds_alternative<NeedsReservation>(choice))
         return choice;
-    return chooseUsable(std::move(last), request, now);
+    return chooseUnlimitedFirst(std::move(deprioritized), request, now);
 }
 
-Choice Balancer::chooseUsable(std::vector<const Candidate *> candidates,
-                              const RoutingRequest &request, TimePoint now)
+Choice Balancer::chooseUnlimitedFirst(std::vector<const Candidate *> candidates,
+                                      const RoutingRequest &request, TimePoint now)
 {
     std::vector<const Candidate *> limited;
     std::erase_if(candidates, [&](const Candidate *candidate) {
@@ -115,11 +117,12 @@
         return isLimited;
     });
     if (const auto *candidate = best(candidates, request, now)) {
-        const auto patience
+        const auto stallTimeout
             = request.service_->engine_
-                  ? patienceOf(*request.service_, request.model_, candidate->slowness_)
+                  ? stallTimeoutOf(*request.service_, request.model_, candidate->slowdown_)
                   : Duration::zero();
-        return Target{candidate->endpoint_, candidate->address_, patience, candidate->startedAt_};
+        return Target{candidate->endpoint_, candidate->address_, stallTimeout,
+                      candidate->startedAt_};
     }
     if (limited.empty())
         return NoTarget::Full;
--- a/src/serving/load_tracker.cpp
+++ b/src/serving/load_tracker.cpp
@@ -6,35 +6,39 @@
 
 namespace {
 
-/// First pause of a failing endpoint; about how long an engine's short trouble lasts. Doubles.
-constexpr Duration firstPause = std::chrono::milliseconds(500);
-constexpr std::size_t mostDoublings = 3; ///< 4 s, the time after which a stalled group breaks.
+/// Initial backoff after a failure, about as long as a short disturbance of an engine; doubles with
+/// each failure.
+constexpr Duration initialBackoff = std::chrono::milliseconds(500);
+/// 4 s, after which a stalled group is marked broken.
+constexpr std::size_t maxBackoffDoublings = 3;
 
-/// Counts of a peer that is not heard of are dropped after several of its digests are missed.
-constexpr Duration peerLifetime = std::chrono::milliseconds(1500);
+/// Reports of a peer are dropped after several of its digests are missed.
+constexpr Duration peerReportLifetime = std::chrono::milliseconds(1500);
 
-/// Rate of failures above which an endpoint is avoided.
-constexpr double mostErrors = 0.38;
+/// Error rate above which an endpoint is avoided.
+constexpr double errorRateThreshold = 0.38;
 constexpr double successWeight = 0.15;
-/// Part of a failure that a success makes up for.
-constexpr double successShare = 0.34;
+/// Share of a failure that a success offsets.
+constexpr double failureDecayPerSuccess = 0.34;
 
-/// A count stays in several digests, so that one that is lost does no harm.
-constexpr Duration toldFor = std::chrono::milliseconds(1200);
+/// Counts are repeated in several digests to tolerate the loss of one.
+constexpr Duration reportWindow = std::chrono::milliseconds(1200);
 
-/// A group that works sends something to its streams within one pass; 200 ms are a long one. A lost
-/// engine is found as much later where several entry VMs have streams there.
-constexpr Duration heardWithin = std::chrono::milliseconds(250);
-/// Digests come every 100 ms, sums a little later; older ones do not show that an endpoint works.
-constexpr Duration freshNews = std::chrono::milliseconds(400);
+/// A working group sends data to its streams within one pass; a long pass takes 200 ms. The
+/// detection of a lost engine with streams from several entry VMs is delayed by the same time.
+constexpr Duration activityWindow = std::chrono::milliseconds(250);
+/// Digests arrive every 100 ms and sums slightly later; older reports do not prove that an endpoint
+/// is working.
+constexpr Duration maxReportAge = std::chrono::milliseconds(400);
 
-/// An endpoint that has ended is listed until three of its heartbeats are missed. Left in, each
-/// entry VM finds out by refused connections: 465 sends in 30 s of a day with 28 ends, each one of
-/// a request's four. Without them 0.379 in place of 0.311 of all requests were answered whole while
-/// a seventh of the groups ended every 1.5 s (20 seeds on the paused clock).
-constexpr Duration crashKnownFor = std::chrono::seconds(5);
+/// A crashed endpoint stays listed until three of its heartbeats are missed. If it stayed in use,
+/// each entry VM would only learn of the crash from refused connections: 465 sends within 30 s of a
+/// day with 28 crashes, each using up one of a request's four attempts. Excluding crashed endpoints
+/// raised the share of complete answers from 0.311 to 0.379 while a seventh of the groups crashed
+/// every 1.5 s (20 seeds, simulated clock).
+constexpr Duration crashRetention = std::chrono::seconds(5);
 
-constexpr Duration memoryOfIdle = std::chrono::seconds(30);
+constexpr Duration idleRetention = std::chrono::seconds(30);
 
 } // namespace
 
@@ -43,33 +47,33 @@
     auto &entry = entries_[endpoint];
     if (entry.failures_ >= 1)
         entry.isOnTrial_ = true;
-    ++entry.own_;
+    ++entry.ownRequests_;
     entry.sent_ += promptTokens;
     entry.sentAt_ = now;
-    addUnread(entry, static_cast<double>(promptTokens), now);
+    addPendingTokens(entry, static_cast<double>(promptTokens), now);
 }
 
 void LoadTracker::progressed(const VmId &endpoint, TimePoint now)
 {
     auto &entry = entries_[endpoint];
-    entry.heardAt_ = now;
+    entry.progressedAt_ = now;
     entry.isOnTrial_ = false;
-    entry.isSilent_ = false;
+    entry.isStalled_ = false;
     entry.avoidUntil_ = {};
 }
 
 void LoadTracker::ended(const VmId &endpoint)
 {
     auto &entry = entries_[endpoint];
-    if (entry.own_ > 0)
-        --entry.own_;
-    entry.isOnTrial_ = entry.isOnTrial_ && entry.own_ > 0;
+    if (entry.ownRequests_ > 0)
+        --entry.ownRequests_;
+    entry.isOnTrial_ = entry.isOnTrial_ && entry.ownRequests_ > 0;
 }
 
 void LoadTracker::succeeded(const VmId &endpoint)
 {
     auto &entry = entries_[endpoint];
-    entry.failures_ = std::max(0.0, entry.failures_ - successShare);
+    entry.failures_ = std::max(0.0, entry.failures_ - failureDecayPerSuccess);
     entry.errorRate_ *= 1 - successWeight;
 }
 
@@ -77,26 +81,27 @@
 {
     auto &rate = entries_[endpoint].errorRate_;
     rate += (1 - rate) * weight;
-    if (rate > mostErrors)
+    if (rate > errorRateThreshold)
         failed(endpoint, now);
 }
 
 void LoadTracker::failed(const VmId &endpoint, TimePoint now)
 {
     auto &entry = entries_[endpoint];
-    // Requests that were there together fail together; that is one failure.
+    // Requests in progress at the same time fail together and count as one failure.
     if (now < entry.avoidUntil_)
         return;
     entry.avoidUntil_
         = now
-          + firstPause * (1U << std::min(static_cast<std::size_t>(entry.failures_), mostDoublings));
+          + initialBackoff
+                * (1U << std::min(static_cast<std::size_t>(entry.failures_), maxBackoffDoublings));
     entry.failures_ += 1;
 }
 
 void LoadTracker::stalled(const VmId &endpoint, TimePoint now)
 {
     failed(endpoint, now);
-    entries_[endpoint].isSilent_ = true;
+    entries_[endpoint].isStalled_ = true;
 }
 
 void LoadTracker::crashed(const EndpointIncarnation &endpoint, TimePoint now)
@@ -104,10 +109,10 @@
     crashed_.insert_or_assign(endpoint.id_, Crash{endpoint.startedAt_, now});
 }
 
-bool LoadTracker::hasCrashed(const VmId &endpoint, std::uint64_t bornAt) const
+bool LoadTracker::hasCrashed(const VmId &endpoint, std::uint64_t startedAt) const
 {
     const auto found = crashed_.find(endpoint);
-    return found != crashed_.end() && found->second.startedAt_ == bornAt;
+    return found != crashed_.end() && found->second.startedAt_ == startedAt;
 }
 
 void LoadTracker::restarted(const VmId &endpoint)
@@ -115,20 +120,20 @@
     const auto found = entries_.find(endpoint);
     if (found == entries_.end())
         return;
-    // Own requests there still end one by one, and peers have heard of the tokens.
+    // Requests in progress still end one by one, and peers already know the sent tokens.
     Entry fresh;
-    fresh.own_ = found->second.own_;
+    fresh.ownRequests_ = found->second.ownRequests_;
     fresh.sent_ = found->second.sent_;
     fresh.sentAt_ = found->second.sentAt_;
     found->second = fresh;
 }
 
-/// What the endpoint has read since the last look is taken off first.
-void LoadTracker::addUnread(Entry &entry, double tokens, TimePoint now)
+/// First subtracts the tokens processed since the last update.
+void LoadTracker::addPendingTokens(Entry &entry, double tokens, TimePoint now)
 {
-    const double read = toSeconds(now - entry.unreadAt_) * entry.readRate_;
-    entry.unread_ = std::max(0.0, entry.unread_ - read) + tokens;
-    entry.unreadAt_ = now;
+    const double read = toSeconds(now - entry.pendingAsOf_) * entry.prefillTokensPerSecond_;
+    entry.pendingTokens_ = std::max(0.0, entry.pendingTokens_ - read) + tokens;
+    entry.pendingAsOf_ = now;
 }
 
 void LoadTracker::setPeerLoad(const std::string &peer, PeerLoad load)
@@ -136,31 +141,34 @@
     auto &known = peers_[peer];
     for (const auto &[endpoint, tokens] : load.sent_) {
         const auto before = known.sent_.find(endpoint);
-        // A peer that is new here, or has started anew, tells nothing of what is unread now.
+        // The first report of a new or restarted peer does not say which tokens are still pending.
         const bool isComparable = before != known.sent_.end() && before->second <= tokens;
         if (isComparable && tokens > before->second)
-            addUnread(entries_[endpoint], static_cast<double>(tokens - before->second), load.at_);
+            addPendingTokens(entries_[endpoint], static_cast<double>(tokens - before->second),
+                             load.at_);
     }
-    // Counts that did not change lately are not told again.
+    // Counts that have not changed recently are not reported again.
     load.sent_.merge(known.sent_);
     known = std::move(load);
 }
 
 void LoadTracker::expire(TimePoint now)
 {
-    std::erase_if(peers_, [now](const auto &one) { return now - one.second.at_ > peerLifetime; });
+    std::erase_if(peers_,
+                  [now](const auto &one) { return now - one.second.at_ > peerReportLifetime; });
     std::erase_if(crashed_,
-                  [now](const auto &one) { return now - one.second.at_ > crashKnownFor; });
+                  [now](const auto &one) { return now - one.second.at_ > crashRetention; });
     std::erase_if(entries_, [now](const auto &one) {
         const auto &entry = one.second;
-        return entry.own_ == 0 && now > entry.avoidUntil_ && now - entry.heardAt_ > memoryOfIdle;
+        return entry.ownRequests_ == 0 && now > entry.avoidUntil_
+               && now - entry.progressedAt_ > idleRetention;
     });
 }
 
 std::size_t LoadTracker::ownRequests(const VmId &endpoint) const
 {
     const auto found = entries_.find(endpoint);
-    return found == entries_.end() ? 0 : found->second.own_;
+    return found == entries_.end() ? 0 : found->second.ownRequests_;
 }
 
 std::size_t LoadTracker::totalRequests(const VmId &endpoint) const
@@ -188,16 +196,16 @@
     const auto found = entries_.find(endpoint);
     if (found == entries_.end())
         return 0;
-    found->second.readRate_ = tokensPerSecond;
-    addUnread(found->second, 0, now);
-    return found->second.unread_;
+    found->second.prefillTokensPerSecond_ = tokensPerSecond;
+    addPendingTokens(found->second, 0, now);
+    return found->second.pendingTokens_;
 }
 
 std::unordered_map<VmId, std::size_t> LoadTracker::ownSentTokens(TimePoint now) const
 {
     std::unordered_map<VmId, std::size_t> result;
     for (const auto &[id, entry] : entries_) {
-        if (entry.sent_ > 0 && now - entry.sentAt_ < toldFor)
+        if (entry.sent_ > 0 && now - entry.sentAt_ < reportWindow)
             result.emplace(id, entry.sent_);
     }
     return result;
@@ -207,15 +215,15 @@
 {
     std::vector<VmId> result;
     for (const auto &[id, entry] : entries_) {
-        if (entry.isSilent_)
+        if (entry.isStalled_)
             result.push_back(id);
     }
     return result;
 }
 
-/// A cut between some entry VMs and an endpoint looks there as if it stood still. Of 130 engines
-/// that 30 in 100 entry VMs could not reach, the groups were given up though they served all
-/// others.
+/// To entry VMs cut off from an endpoint it looks stalled. Without this check, when 30 of 100 entry
+/// VMs could not reach 130 engines, their groups were abandoned although they still served all
+/// other entry VMs.
 std::vector<VmId> LoadTracker::stalledEverywhere(TimePoint now) const
 {
     auto result = locallyStalled();
@@ -223,17 +231,17 @@
         result.insert(result.end(), peer.silent_.begin(), peer.silent_.end());
     std::sort(result.begin(), result.end());
     result.erase(std::unique(result.begin(), result.end()), result.end());
-    std::erase_if(result, [&](const VmId &endpoint) { return isHeard(endpoint, now); });
+    std::erase_if(result, [&](const VmId &endpoint) { return isActiveAnywhere(endpoint, now); });
     return result;
 }
 
-bool LoadTracker::isHeard(const VmId &endpoint, TimePoint now) const
+bool LoadTracker::isActiveAnywhere(const VmId &endpoint, TimePoint now) const
 {
     const auto local = entries_.find(endpoint);
-    if (local != entries_.end() && now - local->second.heardAt_ < heardWithin)
+    if (local != entries_.end() && now - local->second.progressedAt_ < activityWindow)
         return true;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto &one) {
-        return now - one.second.at_ < freshNews && one.second.heard_.contains(endpoint);
+        return now - one.second.at_ < maxReportAge && one.second.heard_.contains(endpoint);
     });
 }
 
@@ -241,7 +249,7 @@
 {
     std::unordered_map<VmId, std::size_t> result;
     for (const auto &[id, entry] : entries_) {
-        if (entry.own_ > 0 && now - entry.heardAt_ < heardWithin)
+        if (entry.ownRequests_ > 0 && now - entry.progressedAt_ < activityWindow)
             result.emplace(id, 1);
     }
     return result;
@@ -258,15 +266,15 @@
 TimePoint LoadTracker::lastProgressAt(const VmId &endpoint) const
 {
     const auto found = entries_.find(endpoint);
-    return found == entries_.end() ? TimePoint{} : found->second.heardAt_;
+    return found == entries_.end() ? TimePoint{} : found->second.progressedAt_;
 }
 
 std::unordered_map<VmId, std::size_t> LoadTracker::ownRequestCounts() const
 {
     std::unordered_map<VmId, std::size_t> result;
     for (const auto &[id, entry] : entries_) {
-        if (entry.own_ > 0)
-            result.emplace(id, entry.own_);
+        if (entry.ownRequests_ > 0)
+            result.emplace(id, entry.ownRequests_);
     }
     return result;
 }
--- a/tests/serving/endpoint_lives.cpp
+++ b/tests/serving/endpoint_lives.cpp
@@ -1,4 +1,4 @@
-// Endpoints that start again under their id, and entries that somebody else has spoiled.
+// Tests endpoints that restart under the same id, crash or stall.
 #include "support/gateway_fixture.hpp"
 
 #include <cardamombay/serving/endpoint_registry.hpp>
@@ -15,79 +15,80 @@
 
 const TimePoint start{seconds(100)};
 
-Endpoint bornAt(Endpoint endpoint, std::uint64_t born)
+Endpoint withStart(Endpoint endpoint, std::uint64_t startedAt)
 {
-    endpoint.startedAt_ = born;
+    endpoint.startedAt_ = startedAt;
     return endpoint;
 }
 
-/// An engine of a group that has begun at \p born.
-Endpoint member(std::uint64_t born, MemberState state = MemberState::Ready)
+/// A group's engine that was started at \p startedAt.
+Endpoint member(std::uint64_t startedAt, MemberState state = MemberState::Ready)
 {
-    return bornAt(engineIn("i", "d", GroupName("m.1"), 1, 0, state), born);
+    return withStart(engineIn("i", "d", GroupName("m.1"), 1, 0, state), startedAt);
 }
 
 } // namespace
 
 Test(endpoint_book, new_life_has_none_of_what_the_earlier_one_had)
 {
-    EndpointRegistry book;
+    EndpointRegistry endpointRegistry;
     std::vector<std::uint64_t> earlier;
-    book.onRestarted([&](const Endpoint &before) { earlier.push_back(before.startedAt_); });
-    book.put(member(5));
-    cr_assert_eq(book.find(VmId("i"))->model_, ModelName("m"));
-    book.put(bornAt(spareEngine("i", "d"), 6));
-    cr_assert(book.find(VmId("i"))->model_.isEmpty());
-    cr_assert_not(book.find(VmId("i"))->membership_);
+    endpointRegistry.onRestarted(
+        [&](const Endpoint &before) { earlier.push_back(before.startedAt_); });
+    endpointRegistry.put(member(5));
+    cr_assert_eq(endpointRegistry.find(VmId("i"))->model_, ModelName("m"));
+    endpointRegistry.put(withStart(spareEngine("i", "d"), 6));
+    cr_assert(endpointRegistry.find(VmId("i"))->model_.isEmpty());
+    cr_assert_not(endpointRegistry.find(VmId("i"))->membership_);
     cr_assert_eq(earlier.size(), 1);
     cr_assert_eq(earlier.front(), 5);
 }
 
 Test(endpoint_book, news_of_an_earlier_life_change_nothing)
 {
-    EndpointRegistry book;
-    book.put(bornAt(spareEngine("i", "d"), 6));
-    const auto revision = book.revision();
-    book.put(member(5));
-    cr_assert_eq(book.revision(), revision);
-    cr_assert_not(book.find(VmId("i"))->membership_);
-    book.remove(VmId("i"), start);
-    book.put(member(5));
-    cr_assert_null(book.find(VmId("i")));
+    EndpointRegistry endpointRegistry;
+    endpointRegistry.put(withStart(spareEngine("i", "d"), 6));
+    const auto revision = endpointRegistry.revision();
+    endpointRegistry.put(member(5));
+    cr_assert_eq(endpointRegistry.revision(), revision);
+    cr_assert_not(endpointRegistry.find(VmId("i"))->membership_);
+    endpointRegistry.remove(VmId("i"), start);
+    endpointRegistry.put(member(5));
+    cr_assert_null(endpointRegistry.find(VmId("i")));
 }
 
 Test(endpoint_book, endpoint_that_was_gone_in_between_is_told_apart_too)
 {
-    EndpointRegistry book;
+    EndpointRegistry endpointRegistry;
     int restarts = 0;
-    book.onRestarted([&](const Endpoint & /*before*/) { ++restarts; });
-    book.put(member(5));
-    book.remove(VmId("i"), start);
-    book.put(bornAt(spareEngine("i", "d"), 6));
+    endpointRegistry.onRestarted([&](const Endpoint & /*before*/) { ++restarts; });
+    endpointRegistry.put(member(5));
+    endpointRegistry.remove(VmId("i"), start);
+    endpointRegistry.put(withStart(spareEngine("i", "d"), 6));
     cr_assert_eq(restarts, 1);
-    cr_assert(book.find(VmId("i"))->model_.isEmpty());
-    // The same life, listed again after the store was away.
-    book.remove(VmId("i"), start);
-    book.put(bornAt(spareEngine("i", "d"), 6));
+    cr_assert(endpointRegistry.find(VmId("i"))->model_.isEmpty());
+    // The same incarnation, listed again after a store outage.
+    endpointRegistry.remove(VmId("i"), start);
+    endpointRegistry.put(withStart(spareEngine("i", "d"), 6));
     cr_assert_eq(restarts, 1);
-    cr_assert_not_null(book.find(VmId("i")));
+    cr_assert_not_null(endpointRegistry.find(VmId("i")));
 }
 
 Test(load_board, new_life_has_no_failures_and_nothing_to_read)
 {
-    LoadTracker board;
+    LoadTracker loadTracker;
     const VmId engine("i");
-    board.started(engine, 5000, start);
-    board.stalled(engine, start);
-    cr_assert_gt(board.pendingPromptTokens(engine, 1000, start), 0);
-    board.restarted(engine);
-    cr_assert(board.isUsable(engine, start));
-    cr_assert(board.locallyStalled().empty());
-    cr_assert_eq(board.pendingPromptTokens(engine, 1000, start), 0);
-    // Its request has not ended yet.
-    cr_assert_eq(board.ownRequests(engine), 1);
-    board.ended(engine);
-    cr_assert_eq(board.ownRequests(engine), 0);
+    loadTracker.started(engine, 5000, start);
+    loadTracker.stalled(engine, start);
+    cr_assert_gt(loadTracker.pendingPromptTokens(engine, 1000, start), 0);
+    loadTracker.restarted(engine);
+    cr_assert(loadTracker.isUsable(engine, start));
+    cr_assert(loadTracker.locallyStalled().empty());
+    cr_assert_eq(loadTracker.pendingPromptTokens(engine, 1000, start), 0);
+    // The request is still in progress.
+    cr_assert_eq(loadTracker.ownRequests(engine), 1);
+    loadTracker.ended(engine);
+    cr_assert_eq(loadTracker.ownRequests(engine), 0);
 }
 
 Test(session, stream_at_an_engine_that_starts_again_goes_on_elsewhere_at_once)
@@ -128,54 +129,54 @@
 
 Test(load_board, endpoint_that_others_hear_from_does_not_stand_still)
 {
-    LoadTracker board;
+    LoadTracker loadTracker;
     const VmId engine("i");
-    board.started(engine, 10, start);
-    board.stalled(engine, start);
-    cr_assert_eq(board.stalledEverywhere(start), std::vector<VmId>{engine});
+    loadTracker.started(engine, 10, start);
+    loadTracker.stalled(engine, start);
+    cr_assert_eq(loadTracker.stalledEverywhere(start), std::vector<VmId>{engine});
     LoadTracker::PeerLoad peer;
     peer.at_ = start;
     peer.heard_ = {{engine, 3}};
-    board.setPeerLoad("p", peer);
-    cr_assert(board.stalledEverywhere(start + milliseconds(100)).empty());
-    // Once the peers hear nothing either, it does; and news that are old show nothing.
+    loadTracker.setPeerLoad("p", peer);
+    cr_assert(loadTracker.stalledEverywhere(start + milliseconds(100)).empty());
+    // It counts as stalled once the peers receive nothing either; outdated reports are ignored.
     peer.heard_.clear();
     peer.at_ = start + milliseconds(200);
     auto old = peer;
-    board.setPeerLoad("p", peer);
-    cr_assert_eq(board.stalledEverywhere(start + milliseconds(200)).size(), 1);
+    loadTracker.setPeerLoad("p", peer);
+    cr_assert_eq(loadTracker.stalledEverywhere(start + milliseconds(200)).size(), 1);
     old.at_ = start;
     old.heard_ = {{engine, 3}};
-    board.setPeerLoad("q", old);
-    cr_assert_eq(board.stalledEverywhere(start + milliseconds(600)).size(), 1);
+    loadTracker.setPeerLoad("q", old);
+    cr_assert_eq(loadTracker.stalledEverywhere(start + milliseconds(600)).size(), 1);
 }
 
 Test(load_board, endpoint_is_heard_while_it_sends_to_requests_that_are_there)
 {
-    LoadTracker board;
+    LoadTracker loadTracker;
     const VmId engine("i");
-    board.started(engine, 10, start);
-    cr_assert(board.locallyActive(start).empty());
-    board.progressed(engine, start);
-    cr_assert_eq(board.locallyActive(start + milliseconds(200)).at(engine), 1);
-    cr_assert(board.locallyActive(start + milliseconds(300)).empty());
-    board.progressed(engine, start + milliseconds(300));
-    board.ended(engine);
-    cr_assert(board.locallyActive(start + milliseconds(300)).empty());
+    loadTracker.started(engine, 10, start);
+    cr_assert(loadTracker.locallyActive(start).empty());
+    loadTracker.progressed(engine, start);
+    cr_assert_eq(loadTracker.locallyActive(start + milliseconds(200)).at(engine), 1);
+    cr_assert(loadTracker.locallyActive(start + milliseconds(300)).empty());
+    loadTracker.progressed(engine, start + milliseconds(300));
+    loadTracker.ended(engine);
+    cr_assert(loadTracker.locallyActive(start + milliseconds(300)).empty());
 }
 
-/// An endpoint that had ended stayed listed for 3.6 s, and requests went there until each entry VM
-/// had been refused a connection; four such sends ended a request.
+/// Guards against sending requests to a crashed endpoint, which stays listed for 3.6 s, until each
+/// entry VM has been refused a connection. Four such attempts fail a request.
 Test(endpoint_lives, nothing_goes_to_an_endpoint_that_has_ended_also_if_a_peer_saw_it)
 {
     GatewayFixture fixture;
     fixture.addGroup("head-1");
-    PoisonNews news;
-    news.crashes_[{VmId("head-1"), 0}] = {{RequestFingerprint(7), true}};
-    fixture.gateway_.takePoisonNews(news);
+    PoisonNews update;
+    update.crashes_[{VmId("head-1"), 0}] = {{RequestFingerprint(7), true}};
+    fixture.gateway_.takePoisonNews(update);
     (void)fixture.ask("/stream/8");
     cr_assert(fixture.upstream_.calls_.empty());
-    // Its next life is another matter.
+    // The next incarnation is usable.
     auto again = engineIn("head-1", "d", GroupName("m.head-1"), 1, 0, MemberState::Open);
     again.startedAt_ = 5;
     fixture.endpointRegistry_.put(again);
