--- a/include/cardamombay/serving/answer_notices.hpp
+++ b/include/cardamombay/serving/answer_notices.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What an endpoint says of itself in the head of an answer, decoded from the wire.
+/// \brief Endpoint notices decoded from a response head.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -8,19 +8,18 @@
 
 namespace cardamombay::serving {
 
-/// \brief Notices in one answer. Filled by the dialect; what they mean is decided by
-/// EndpointNotices.
+/// \brief Notices of one response. Filled in by the dialect and interpreted by EndpointNotices.
 struct AnswerNotices
 {
-    /// Requests a second that the endpoint takes from all entry VMs together; absent if it names no
-    /// such limit, or one that cannot be read.
+    /// Rate limit in requests per second for all entry VMs together; absent if missing or
+    /// malformed.
     std::optional<double> requestsPerSecond_;
-    bool isLimitUnreadable_ = false; ///< It names a limit that is no usable number.
-    /// The endpoint turned the request away and wants nothing from this entry VM for so long;
-    /// absent if it does not ask for that, or in a form that cannot be read.
+    bool isLimitUnreadable_ = false; ///< The rate limit is present but malformed.
+    /// How long this entry VM must send nothing, as requested by an endpoint that refused the
+    /// request; absent if missing or malformed.
     std::optional<Duration> cooldown_;
     bool isCooldownUnreadable_ = false;
-    bool isLeaving_ = false; ///< The endpoint stops soon.
+    bool isLeaving_ = false; ///< The endpoint is shutting down.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/cold_endpoints.hpp
+++ b/include/cardamombay/serving/cold_endpoints.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// \brief Endpoints that have just started and take only few requests a second for a while.
-/// \details An endpoint says in its entry how long it stays cold. Where operators let requests
-/// return to an availability zone, or an endpoint is back after it was lost, it counts as cold
-/// before it says so. Guards that a cold endpoint is not overrun by all entry VMs at once; which
-/// sends it gets is decided by the reservation desk.
+/// \brief Tracks endpoints that have just started and accept only a low request rate at first.
+/// \details An endpoint's entry states how long it stays cold. An endpoint also counts as cold
+/// before its entry says so if its availability zone is returned to service or it reappears after
+/// being lost. This keeps all entry VMs from overloading a cold endpoint at once. The reservation
+/// coordinator schedules the sends.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -17,39 +17,38 @@
 
 namespace cardamombay::serving {
 
-/// \brief What one entry VM knows of cold endpoints; belongs to the gateway's thread.
+/// \brief Cold endpoints known to one entry VM. Not thread-safe: used on the gateway's thread only.
 /// \code
 /// cold.listed(endpoint);
-/// if (const auto rate = cold.perSecond(endpoint.life()))
+/// if (const auto rate = cold.perSecond(endpoint.incarnation()))
 ///     reserve(*rate);
 /// \endcode
 class ColdEndpoints final : public SendRates
 {
 public:
-    /// \param clock, metrics outlive the object.
+    /// \param clock, metrics must outlive this object.
     ColdEndpoints(Clock &clock, GatewayMetrics &metrics);
 
-    /// \brief Takes what operators declare of cold starts.
+    /// \brief Applies the cold-start settings of the configured services.
     void setServices(std::span<const Service> services);
 
-    /// \brief Takes an endpoint's entry; one that names no cold time ends nothing, since it may
-    /// be older than the reason to count the endpoint as cold.
+    /// \brief Processes an endpoint's entry. An entry without a cold time does not end the cold
+    /// state, since it may predate the reason for it.
     void listed(const Endpoint &endpoint);
 
-    /// \brief An endpoint may have become cold, and its entry does not say so yet.
-    /// \param reason for the log.
+    /// \brief Marks an endpoint as cold before its entry says so.
+    /// \param reason logged.
     void assumeCold(const Endpoint &endpoint, std::string_view reason);
 
-    /// \brief Drops endpoints that are warm again.
+    /// \brief Removes endpoints whose cold time is over.
     void expire();
 
-    /// \brief The rate that a cold endpoint takes; nothing for one that is warm, or whose service
-    /// bounds nothing.
+    /// \brief Rate limit of a cold endpoint; no value if it is warm or its service sets no limit.
     [[nodiscard]] std::optional<double>
     perSecond(const EndpointIncarnation &endpoint) const override;
 
 private:
-    /// How the endpoints of a service start.
+    /// Cold-start settings of a service.
     struct ColdStart
     {
         Duration time_{};
@@ -61,11 +60,11 @@
         TimePoint until_{};
     };
 
-    void set(const Endpoint &endpoint, Duration time, std::string_view reason);
+    void markCold(const Endpoint &endpoint, Duration time, std::string_view reason);
 
     Clock &clock_;
     GatewayMetrics &metrics_;
-    std::map<ServiceName, ColdStart> starts_; ///< Of services that bound the rate.
+    std::map<ServiceName, ColdStart> starts_; ///< Only services that limit the rate.
     std::map<EndpointIncarnation, Record> cold_;
 };
 
--- a/include/cardamombay/serving/endpoint.hpp
+++ b/include/cardamombay/serving/endpoint.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What an endpoint VM says of itself in the platform's list.
+/// \brief An endpoint VM's entry in the platform's listing.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -14,47 +14,47 @@
 
 namespace cardamombay::serving {
 
-/// \brief Name of a group of engines, chosen by the planner; never used again with other members.
+/// \brief Name of a group of engines, chosen by the planner; never reused with other members.
 using GroupName = TextId<struct GroupNameTag>;
 
 /// \brief State of an engine's membership in its group.
 enum class MemberState {
-    Joining, ///< Still loading.
-    Ready,   ///< Loaded; serves nothing.
-    Open,    ///< Head only: the group serves.
-    Closing, ///< Head only: finishes its work.
-    Broken,  ///< Head only: lost a member and has given up.
+    Joining, ///< Loading the model.
+    Ready,   ///< Loaded, but not serving.
+    Open,    ///< Head only: the group is serving.
+    Closing, ///< Head only: finishing its requests.
+    Broken,  ///< Head only: lost a member and stopped serving.
 };
 
-/// \brief Short name for logs.
+/// \brief Name used in logs.
 [[nodiscard]] std::string_view nameOf(MemberState state);
 
-/// \brief An engine's place in a group.
+/// \brief An engine's membership in a group.
 struct Membership
 {
     GroupName group_;
     std::uint64_t epoch_ = 0;
-    std::uint32_t rank_ = 0; ///< 0 is the head, which takes the group's requests.
+    std::uint32_t rank_ = 0; ///< 0 is the head, which receives the group's requests.
     MemberState state_ = MemberState::Joining;
 
     [[nodiscard]] bool isHead() const { return rank_ == 0; }
     friend bool operator==(const Membership &, const Membership &) = default;
 };
 
-/// \brief One start of an endpoint, which may start again under its id.
+/// \brief Identifies one run of an endpoint, which may restart under the same id.
 struct EndpointIncarnation
 {
     VmId id_;
-    std::uint64_t startedAt_ = 0; ///< As Endpoint::bornAt_.
+    std::uint64_t startedAt_ = 0; ///< As Endpoint::startedAt_.
 
-    /// \brief The id, and the start if the endpoint says it.
+    /// \brief The id, followed by the start time if known.
     [[nodiscard]] std::string text() const;
     [[nodiscard]] static EndpointIncarnation parse(std::string_view text);
     friend auto operator<=>(const EndpointIncarnation &, const EndpointIncarnation &) = default;
 };
 
-/// \brief An endpoint as it lists itself. One that starts again may keep its id; it knows nothing
-/// of before then, and its bornAt_ is higher.
+/// \brief An endpoint as listed by itself. After a restart it may keep its id, but has lost all
+/// state and has a higher startedAt_.
 struct Endpoint
 {
     VmId id_;
@@ -62,13 +62,13 @@
     Address address_;
     AvailabilityZone zone_;
     FabricDomain domain_;           ///< Empty for plain services.
-    std::uint32_t slots_ = 0;       ///< Requests at once.
-    bool isDraining_ = false;       ///< Leaving; gets nothing new.
-    ModelName model_;               ///< Loaded now, or by its last group; empty if none.
-    std::vector<ModelName> staged_; ///< Models on its host.
+    std::uint32_t slots_ = 0;       ///< Maximum number of concurrent requests.
+    bool isDraining_ = false;       ///< Shutting down; gets no new requests.
+    ModelName model_;               ///< Loaded now or by its last group; empty if none.
+    std::vector<ModelName> staged_; ///< Models stored on its host.
     std::optional<Membership> membership_;
-    std::uint64_t startedAt_ = 0; ///< Its start, Unix time in milliseconds; 0 if it does not say.
-    Duration coldFor_{};          ///< Time for which it stays cold, as of its entry.
+    std::uint64_t startedAt_ = 0; ///< Start time, Unix time in milliseconds; 0 if unknown.
+    Duration coldFor_{};          ///< Remaining cold time when the entry was written.
 
     [[nodiscard]] EndpointIncarnation incarnation() const { return {id_, startedAt_}; }
     [[nodiscard]] bool hasStaged(const ModelName &model) const;
--- a/include/cardamombay/serving/endpoint_gate.hpp
+++ b/include/cardamombay/serving/endpoint_gate.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Says whether an endpoint may be sent something now, by all that it has said of itself.
-/// \details Asked when an endpoint is chosen, and once more right before the first byte leaves:
-/// connections take time, and notices come meanwhile. All requests of callers pass here; orders and
-/// questions to engines pass GatedOrders.
+/// \brief Decides whether a request may be sent to an endpoint now.
+/// \details Checked when an endpoint is chosen and again right before the first byte is sent,
+/// because notices may arrive while the connection is being established. All caller requests are
+/// checked here; control requests to engines are checked by GatedOrders.
 #pragma once
 
 #include <cardamombay/serving/balancer.hpp>
@@ -12,25 +12,25 @@
 
 namespace cardamombay::serving {
 
-/// \brief Result of the last look before a send.
+/// \brief Result of the final check before a send.
 enum class SendDecision {
     Send,
-    Leaving,   ///< The endpoint leaves, or is not listed any more.
-    Evacuated, ///< Operators empty its availability zone.
-    Cooldown,  ///< It wants nothing from this entry VM for now.
-    Limited,   ///< It takes few requests a second, and the send is not reserved.
+    Leaving,   ///< The endpoint is shutting down or no longer listed.
+    Evacuated, ///< Its availability zone is being evacuated.
+    Cooldown,  ///< It is in a cooldown for this entry VM.
+    Limited,   ///< It is rate-limited and the send is not reserved.
 };
 
-/// \brief Gate of one entry VM; belongs to the gateway's thread.
+/// \brief Send gate of one entry VM. Not thread-safe: used on the gateway's thread only.
 class EndpointGate final : public SendGate
 {
 public:
-    /// \param balancer, notices, reservations outlive the gate.
+    /// \param balancer, notices, reservations must outlive the gate.
     EndpointGate(const Balancer &balancer, EndpointNotices &notices,
                  const ReservationCoordinator &reservations);
 
-    /// \brief Asked when the connection stands; a send that is withheld is counted.
-    /// \param isReserved the send was reserved.
+    /// \brief Call once the connection is established. Counts a withheld send.
+    /// \param isReserved whether the send was reserved.
     [[nodiscard]] SendDecision checkSend(const EndpointIncarnation &endpoint, bool isReserved,
                                          TimePoint now);
 
@@ -46,8 +46,8 @@
     /// \}
 
 private:
-    [[nodiscard]] SendDecision look(const EndpointIncarnation &endpoint, bool isReserved,
-                                    TimePoint now) const;
+    [[nodiscard]] SendDecision decide(const EndpointIncarnation &endpoint, bool isReserved,
+                                      TimePoint now) const;
 
     const Balancer &balancer_;
     EndpointNotices &notices_;
--- a/include/cardamombay/serving/endpoint_registry.hpp
+++ b/include/cardamombay/serving/endpoint_registry.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// \brief The endpoints that this entry VM knows of, and the groups among them.
-/// \details Decides when an entry that vanished counts as gone. An entry may lapse only because the
-/// store was away; such an endpoint gets a short grace in which its entry may come back, and is
-/// meanwhile used as before. Guards that a leaving endpoint gets nothing new.
+/// \brief Registry of the endpoints known to this entry VM.
+/// \details Decides when an endpoint whose entry disappeared counts as gone. An entry may expire
+/// merely because the store was unavailable. Such an endpoint stays in use for a short grace period
+/// in which its entry may reappear. Also ensures that an endpoint that is shutting down gets no new
+/// requests.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -16,94 +17,95 @@
 
 namespace cardamombay::serving {
 
-/// \brief Endpoints by id; belongs to the control thread.
+/// \brief Endpoints by id. Not thread-safe: used on the control thread only.
 class EndpointRegistry
 {
 public:
     /// \name Changes
     /// \{
-    /// \brief Takes an entry; one of an earlier life than the known one is old news and left out.
+    /// \brief Adds or updates an entry; ignores an entry of an earlier incarnation.
     void put(Endpoint endpoint);
     void remove(const VmId &id, TimePoint now);
-    /// \brief Takes a whole listing: endpoints that it lacks are removed.
+    /// \brief Applies a complete listing and removes endpoints that are missing from it.
     void replaceAll(std::vector<Endpoint> endpoints, TimePoint now);
-    /// \brief The store is back after an outage: entries may be missing without cause until \p
-    /// until.
-    void tolerateAbsence(TimePoint until) { excusedUntil_ = until; }
-    /// \brief The store was restored from a backup and may list endpoints as they were before they
-    /// left. Until \p until one that was known to leave, or to be gone, stays so in the same life.
-    void keepLeaving(TimePoint until) { heldUntil_ = until; }
-    /// \brief A listed endpoint has said itself that it leaves; its entry may still be on its way.
+    /// \brief After a store outage, keeps endpoints whose entries are missing until \p until.
+    void tolerateAbsence(TimePoint until) { absenceToleratedUntil_ = until; }
+    /// \brief After the store was restored from a backup, entries may predate an endpoint's
+    /// shutdown. Until \p until, an incarnation known to be draining or gone stays so.
+    void keepLeaving(TimePoint until) { deferredUntil_ = until; }
+    /// \brief Marks a listed endpoint as draining because it announced its shutdown, possibly
+    /// before its entry says so.
     void markLeaving(const EndpointIncarnation &endpoint);
-    /// \brief Endpoints of \p zones get nothing new until other zones are set.
+    /// \brief Stops new requests to endpoints in \p zones. Replaces the previous set.
     void setEvacuated(std::set<AvailabilityZone> zones);
-    /// \brief Drops those whose grace is over, and takes entries that were held back. Call a few
-    /// times a second.
+    /// \brief Drops endpoints whose grace period is over and applies deferred entries. Call a few
+    /// times per second.
     void expire(TimePoint now);
     /// \}
 
-    /// \brief Called after an endpoint was listed that has started again under its id.
-    /// \param action gets what was known of its earlier life.
+    /// \brief Sets the callback for an endpoint that was listed again after a restart under the
+    /// same id.
+    /// \param action receives the entry of the earlier incarnation.
     void onRestarted(std::function<void(const Endpoint &)> action)
     {
-        restarted_ = std::move(action);
+        restartCallback_ = std::move(action);
     }
 
-    /// \brief Entries of endpoints for which \p action is true count as leaving, whatever they
-    /// list.
+    /// \brief Entries of endpoints for which \p action returns true count as draining, whatever
+    /// they say.
     void setLeavingCheck(std::function<bool(const EndpointIncarnation &)> action)
     {
         isKnownLeaving_ = std::move(action);
     }
 
-    /// \brief The endpoint; null if it is unknown or gone.
+    /// \brief Returns the endpoint, or null if it is unknown or gone.
     [[nodiscard]] const Endpoint *find(const VmId &id) const;
 
-    /// \brief True if operators empty the endpoint's availability zone.
+    /// \brief True if the endpoint's availability zone is being evacuated.
     [[nodiscard]] bool isEvacuated(const Endpoint &endpoint) const
     {
         return evacuated_.contains(endpoint.zone_);
     }
 
-    /// \brief True if something new may be sent to the endpoint.
+    /// \brief True if the endpoint accepts new requests.
     [[nodiscard]] bool takesRequests(const Endpoint &endpoint) const
     {
         return !endpoint.isDraining_ && !isEvacuated(endpoint);
     }
 
-    /// \brief Endpoints of an availability zone that are listed.
+    /// \brief Listed endpoints of an availability zone.
     [[nodiscard]] std::vector<const Endpoint *> inZone(const AvailabilityZone &zone) const;
 
-    /// \brief Endpoints of a service that are listed, leaving ones included.
+    /// \brief Listed endpoints of a service, including draining ones.
     [[nodiscard]] std::vector<const Endpoint *> ofService(const ServiceName &service) const;
 
-    /// \brief Rises with each change, so that readers may keep what they derive.
+    /// \brief Incremented on each change, so that readers can cache derived data.
     [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-    /// \brief All endpoints that are listed.
+    /// \brief Ids of all listed endpoints.
     [[nodiscard]] std::vector<VmId> ids() const;
 
     [[nodiscard]] std::size_t size() const { return endpoints_.size(); }
 
 private:
-    /// What was listed before.
-    struct Ended
+    /// An endpoint that is no longer listed.
+    struct Removed
     {
         Endpoint endpoint_;
         TimePoint at_{};
     };
     void drop(const VmId &id, TimePoint now);
-    void take(Endpoint endpoint);
-    [[nodiscard]] bool isOlderThanLeaving(const Endpoint &endpoint) const;
+    void apply(Endpoint endpoint);
+    [[nodiscard]] bool mayPredateLeaving(const Endpoint &endpoint) const;
 
     std::map<VmId, Endpoint> endpoints_;
-    std::map<VmId, Ended> ended_;
-    std::function<void(const Endpoint &)> restarted_;
+    std::map<VmId, Removed> removed_;
+    std::function<void(const Endpoint &)> restartCallback_;
     std::function<bool(const EndpointIncarnation &)> isKnownLeaving_;
-    std::map<VmId, TimePoint> missing_; ///< Not listed; dropped at that time.
-    TimePoint excusedUntil_{};
-    std::map<VmId, Endpoint> heldBack_; ///< Entries that may be older than a leaving.
-    std::optional<TimePoint> heldUntil_;
+    std::map<VmId, TimePoint> missing_; ///< Unlisted endpoints and when they are dropped.
+    TimePoint absenceToleratedUntil_{};
+    std::map<VmId, Endpoint> deferred_; ///< Entries that may predate a shutdown.
+    std::optional<TimePoint> deferredUntil_;
     std::set<AvailabilityZone> evacuated_;
     std::uint64_t revision_ = 0;
 };
--- a/include/cardamombay/serving/send_gate.hpp
+++ b/include/cardamombay/serving/send_gate.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Seam to whoever knows what endpoints have said of the requests that they want.
+/// \brief Interface for checking whether endpoint notices allow a request to be sent.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -9,7 +9,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief Why an endpoint gets nothing at all.
+/// \brief Why nothing may be sent to an endpoint.
 struct SendBlock
 {
     enum class Reason {
@@ -17,10 +17,10 @@
         Cooldown,
     };
     Reason reason_ = Reason::Leaving;
-    Duration left_{}; ///< Of a cooldown.
+    Duration left_{}; ///< Remaining cooldown.
 };
 
-/// \brief What a balancer asks about an endpoint's notices.
+/// \brief Send restrictions of endpoints, queried by the balancer.
 class SendGate
 {
 public:
@@ -29,18 +29,19 @@
     SendGate &operator=(const SendGate &) = delete;
     virtual ~SendGate() = default;
 
-    /// \brief Why nothing may be sent there now; nothing if something may.
+    /// \brief Why nothing may be sent to the endpoint now; no value if sends are allowed.
     [[nodiscard]] virtual std::optional<SendBlock> sendBlock(const EndpointIncarnation &endpoint,
                                                              TimePoint now) const = 0;
 
-    /// \brief True if others should be tried before the endpoint.
+    /// \brief True if other endpoints should be tried first.
     [[nodiscard]] virtual bool isDeprioritized(const EndpointIncarnation &endpoint,
                                                TimePoint now) const = 0;
 
-    /// \brief True if a send needs a reservation.
+    /// \brief True if sends to the endpoint need a reservation.
     [[nodiscard]] virtual bool isLimited(const EndpointIncarnation &endpoint) const = 0;
 
-    /// \brief Time until a caller may find a send there; nothing if one may open within \p wait.
+    /// \brief Time after which a caller should retry; no value if a send may become due within \p
+    /// wait.
     [[nodiscard]] virtual std::optional<Duration>
     timeUntilCapacity(const EndpointIncarnation &endpoint, Duration wait) const = 0;
 };
--- a/include/cardamombay/serving/send_rates.hpp
+++ b/include/cardamombay/serving/send_rates.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Seam to whoever knows how many requests a second endpoints take from all entry VMs.
+/// \brief Interface for looking up endpoints' request rate limits.
 #pragma once
 
 #include <cardamombay/serving/endpoint.hpp>
@@ -9,7 +9,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief What a reservation desk asks about endpoints.
+/// \brief Rate limits of endpoints, queried by the reservation coordinator.
 class SendRates
 {
 public:
@@ -20,16 +20,16 @@
     SendRates &operator=(SendRates &&) = default;
     virtual ~SendRates() = default;
 
-    /// \returns requests a second from all entry VMs together; nothing if the rate is not bounded.
+    /// \returns requests per second from all entry VMs together; no value if unlimited.
     [[nodiscard]] virtual std::optional<double>
     perSecond(const EndpointIncarnation &endpoint) const = 0;
 };
 
-/// \brief The lowest rate that any of several sources names.
+/// \brief Combines several sources and returns the lowest rate.
 class LowestRate final : public SendRates
 {
 public:
-    /// \param sources outlive the object.
+    /// \param sources must outlive this object.
     explicit LowestRate(std::vector<const SendRates *> sources);
 
     [[nodiscard]] std::optional<double>
--- a/src/serving/cold_endpoints.cpp
+++ b/src/serving/cold_endpoints.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-/// An endpoint that names more is taken at its word for that long, and may name it again.
-constexpr Duration longestCold = std::chrono::minutes(10);
+/// Maximum cold time accepted from an entry; the endpoint may renew it.
+constexpr Duration maxColdTime = std::chrono::minutes(10);
 
-/// Cold endpoints that are remembered; bounds memory.
-constexpr std::size_t mostKept = 8192;
+/// Maximum number of tracked endpoints; bounds memory.
+constexpr std::size_t maxRecords = 8192;
 
-constexpr std::string_view ownEntry = "entry";
+constexpr std::string_view entryReason = "entry";
 
 } // namespace
 
@@ -40,26 +40,26 @@
 void ColdEndpoints::listed(const Endpoint &endpoint)
 {
     if (endpoint.coldFor_ > Duration::zero())
-        set(endpoint, endpoint.coldFor_, ownEntry);
+        markCold(endpoint, endpoint.coldFor_, entryReason);
 }
 
 void ColdEndpoints::assumeCold(const Endpoint &endpoint, std::string_view reason)
 {
     const auto start = starts_.find(endpoint.service_);
     if (start != starts_.end())
-        set(endpoint, start->second.time_, reason);
+        markCold(endpoint, start->second.time_, reason);
 }
 
-void ColdEndpoints::set(const Endpoint &endpoint, Duration time, std::string_view reason)
+void ColdEndpoints::markCold(const Endpoint &endpoint, Duration time, std::string_view reason)
 {
     const auto now = clock_.now();
     const auto incarnation = endpoint.incarnation();
-    if (!cold_.contains(incarnation) && cold_.size() >= mostKept)
+    if (!cold_.contains(incarnation) && cold_.size() >= maxRecords)
         return;
     const auto [place, isNew] = cold_.try_emplace(incarnation);
     auto &record = place->second;
     record.service_ = endpoint.service_;
-    record.until_ = std::max(record.until_, now + std::min(time, longestCold));
+    record.until_ = std::max(record.until_, now + std::min(time, maxColdTime));
     if (!isNew)
         return;
     metrics_.coldStarts_.increment();
--- a/src/serving/endpoint_gate.cpp
+++ b/src/serving/endpoint_gate.cpp
@@ -36,23 +36,23 @@
     return reservations_.timeUntilCapacity(endpoint, wait);
 }
 
-SendDecision EndpointGate::look(const EndpointIncarnation &endpoint, bool isReserved,
-                                TimePoint now) const
+SendDecision EndpointGate::decide(const EndpointIncarnation &endpoint, bool isReserved,
+                                  TimePoint now) const
 {
     if (balancer_.hasLeft(endpoint.id_))
         return SendDecision::Leaving;
     if (balancer_.isEvacuated(endpoint.id_))
         return SendDecision::Evacuated;
-    if (const auto barred = sendBlock(endpoint, now))
-        return barred->reason_ == SendBlock::Reason::Leaving ? SendDecision::Leaving
-                                                             : SendDecision::Cooldown;
+    if (const auto block = sendBlock(endpoint, now))
+        return block->reason_ == SendBlock::Reason::Leaving ? SendDecision::Leaving
+                                                            : SendDecision::Cooldown;
     return isReserved || !isLimited(endpoint) ? SendDecision::Send : SendDecision::Limited;
 }
 
 SendDecision EndpointGate::checkSend(const EndpointIncarnation &endpoint, bool isReserved,
                                      TimePoint now)
 {
-    const auto result = look(endpoint, isReserved, now);
+    const auto result = decide(endpoint, isReserved, now);
     if (result != SendDecision::Send)
         notices_.countWithheld(endpoint);
     return result;
--- a/src/serving/endpoint_registry.cpp
+++ b/src/serving/endpoint_registry.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// An endpoint that starts again under its id is listed within a few seconds; what is known of its
-/// earlier life is told apart for that long.
-constexpr Duration endedKeptFor = std::chrono::seconds(30);
+/// How long removed endpoints are remembered to detect a restart under the same id. A restarted
+/// endpoint is listed within a few seconds.
+constexpr Duration removedRetention = std::chrono::seconds(30);
 
-/// An engine that leaves its group lists no model, but a group of the same model takes it back at
+/// An engine that has left its group lists no model, but can rejoin a group of the same model at
 /// once.
 void keepLoadedModel(Endpoint &endpoint, const Endpoint *known)
 {
@@ -24,57 +24,58 @@
 
 } // namespace
 
-/// True if the endpoint was known to leave, or to be gone, in the life that the entry is of.
-bool EndpointRegistry::isOlderThanLeaving(const Endpoint &endpoint) const
+/// True if the same incarnation is already known to be draining or gone.
+bool EndpointRegistry::mayPredateLeaving(const Endpoint &endpoint) const
 {
     if (endpoint.isDraining_)
         return false;
     if (const auto *known = find(endpoint.id_))
         return known->isDraining_ && known->startedAt_ == endpoint.startedAt_;
-    const auto ended = ended_.find(endpoint.id_);
-    return ended != ended_.end() && ended->second.endpoint_.startedAt_ == endpoint.startedAt_;
+    const auto removed = removed_.find(endpoint.id_);
+    return removed != removed_.end() && removed->second.endpoint_.startedAt_ == endpoint.startedAt_;
 }
 
 void EndpointRegistry::put(Endpoint endpoint)
 {
-    heldBack_.erase(endpoint.id_);
-    // It falls with each entry, and who waits for an order's effect would take that for it.
+    deferred_.erase(endpoint.id_);
+    // The remaining cold time decreases with each entry; code that waits for the effect of an order
+    // would take that for a change.
     endpoint.coldFor_ = Duration::zero();
-    if (heldUntil_ && isOlderThanLeaving(endpoint)) {
+    if (deferredUntil_ && mayPredateLeaving(endpoint)) {
         missing_.erase(endpoint.id_);
-        heldBack_.insert_or_assign(endpoint.id_, std::move(endpoint));
+        deferred_.insert_or_assign(endpoint.id_, std::move(endpoint));
         return;
     }
-    take(std::move(endpoint));
+    apply(std::move(endpoint));
 }
 
-void EndpointRegistry::take(Endpoint endpoint)
+void EndpointRegistry::apply(Endpoint endpoint)
 {
     const auto id = endpoint.id_;
     const auto found = endpoints_.find(id);
-    const auto ended = ended_.find(id);
+    const auto removed = removed_.find(id);
     const Endpoint *known = nullptr;
     if (found != endpoints_.end())
         known = &found->second;
-    else if (ended != ended_.end())
-        known = &ended->second.endpoint_;
+    else if (removed != removed_.end())
+        known = &removed->second.endpoint_;
     if (known != nullptr && endpoint.startedAt_ < known->startedAt_)
-        return; // News of an earlier life.
+        return; // Entry of an earlier incarnation.
     missing_.erase(id);
     if (isKnownLeaving_ && isKnownLeaving_(endpoint.incarnation()))
         endpoint.isDraining_ = true;
     std::optional<Endpoint> earlier;
     if (known != nullptr && endpoint.startedAt_ > known->startedAt_)
         earlier = *known;
-    const bool isListed = found != endpoints_.end() && !earlier;
-    keepLoadedModel(endpoint, isListed ? &found->second : nullptr);
-    ended_.erase(id);
-    if (isListed && found->second == endpoint)
+    const bool isKnownIncarnation = found != endpoints_.end() && !earlier;
+    keepLoadedModel(endpoint, isKnownIncarnation ? &found->second : nullptr);
+    removed_.erase(id);
+    if (isKnownIncarnation && found->second == endpoint)
         return;
     endpoints_.insert_or_assign(id, std::move(endpoint));
     ++revision_;
-    if (earlier && restarted_)
-        restarted_(*earlier);
+    if (earlier && restartCallback_)
+        restartCallback_(*earlier);
 }
 
 void EndpointRegistry::markLeaving(const EndpointIncarnation &endpoint)
@@ -97,11 +98,11 @@
 
 void EndpointRegistry::remove(const VmId &id, TimePoint now)
 {
-    heldBack_.erase(id);
+    deferred_.erase(id);
     if (!endpoints_.contains(id))
         return;
-    if (now < excusedUntil_)
-        missing_.emplace(id, excusedUntil_);
+    if (now < absenceToleratedUntil_)
+        missing_.emplace(id, absenceToleratedUntil_);
     else
         drop(id, now);
 }
@@ -111,7 +112,7 @@
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end())
         return;
-    ended_.insert_or_assign(id, Ended{std::move(found->second), now});
+    removed_.insert_or_assign(id, Removed{std::move(found->second), now});
     endpoints_.erase(found);
     missing_.erase(id);
     ++revision_;
@@ -142,12 +143,13 @@
     }
     for (const auto &id : due)
         drop(id, now);
-    if (heldUntil_ && now >= *heldUntil_) {
-        heldUntil_.reset();
-        for (auto &[id, endpoint] : std::exchange(heldBack_, {}))
-            take(std::move(endpoint));
+    if (deferredUntil_ && now >= *deferredUntil_) {
+        deferredUntil_.reset();
+        for (auto &[id, endpoint] : std::exchange(deferred_, {}))
+            apply(std::move(endpoint));
     }
-    std::erase_if(ended_, [now](const auto &one) { return now - one.second.at_ > endedKeptFor; });
+    std::erase_if(removed_,
+                  [now](const auto &one) { return now - one.second.at_ > removedRetention; });
 }
 
 const Endpoint *EndpointRegistry::find(const VmId &id) const
