--- a/include/cardamombay/serving/endpoint_limits.hpp
+++ b/include/cardamombay/serving/endpoint_limits.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Limits of the rate of requests that endpoints name in their answers.
-/// \details Such a limit holds for all entry VMs together. Keeps the newest word of each endpoint,
-/// whichever entry VM heard it; decides nothing about requests.
+/// \brief Request rate limits announced by endpoints in their responses.
+/// \details A limit applies to all entry VMs together. Keeps the latest announcement of each
+/// endpoint, whichever entry VM received it. Makes no decisions about requests.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -17,74 +17,74 @@
 
 namespace cardamombay::serving {
 
-/// \brief Who told of a limit.
+/// \brief Where a limit was learned from.
 enum class LimitSource {
-    Answer, ///< The endpoint itself, in an answer to a request from here.
+    Answer, ///< The endpoint, in a response to this entry VM.
     Peer,   ///< Another entry VM.
 };
 
-/// \brief Short name for logs.
+/// \brief Name used in logs.
 [[nodiscard]] std::string_view nameOf(LimitSource source);
 
-/// \brief The limit of one endpoint, as known here.
+/// \brief Known rate limit of one endpoint.
 struct EndpointLimit
 {
-    double perSecond_ = 0; ///< Requests from all entry VMs.
-    TimePoint since_{};    ///< It has had a limit since then.
-    TimePoint statedAt_{}; ///< The endpoint named it last then.
+    double perSecond_ = 0; ///< Requests per second from all entry VMs.
+    TimePoint since_{};    ///< When the endpoint was first limited.
+    TimePoint statedAt_{}; ///< When the endpoint last announced it.
     LimitSource source_ = LimitSource::Answer;
 };
 
-/// \brief What an entry VM tells of an endpoint's limit.
+/// \brief Update about an endpoint's limit, exchanged between entry VMs.
 struct LimitUpdate
 {
     EndpointIncarnation endpoint_;
-    std::optional<double> perSecond_; ///< Nothing if the limit has ended.
-    Duration age_{};                  ///< Since the endpoint said so.
+    std::optional<double> perSecond_; ///< No value if the limit has ended.
+    Duration age_{};                  ///< Time since the endpoint's announcement.
 
     friend bool operator==(const LimitUpdate &, const LimitUpdate &) = default;
 };
 
-/// \brief Adds \p from to \p into; of two that tell of one endpoint the younger one stays.
+/// \brief Merges \p from into \p into, keeping the most recent update for each endpoint.
 void mergeUpdates(std::vector<LimitUpdate> &into, const std::vector<LimitUpdate> &from);
 
-/// \brief A rate for logs: three significant digits.
+/// \brief Formats a rate for logs with three significant digits.
 [[nodiscard]] std::string textOf(double perSecond);
 
-/// \brief What one entry VM knows of limits; belongs to the gateway's thread.
+/// \brief Limits known to one entry VM. Not thread-safe: used on the gateway's thread only.
 /// \code
-/// limits.stated(endpoint, 3.4, now);
+/// limits.recordLimit(endpoint, 3.4, now);
 /// if (const auto limit = limits.find(endpoint))
 ///     reserve(limit->perSecond_);
 /// \endcode
 class EndpointLimits final : public SendRates
 {
 public:
-    /// \name Answers of endpoints
+    /// \name Responses of endpoints
     /// \{
-    void stated(const EndpointIncarnation &endpoint, double perSecond, TimePoint now);
-    /// \brief An answer names no limit. One that was named while the answer was on its way stands.
-    /// \param sentAt when the request was sent that it answers.
-    void notStated(const EndpointIncarnation &endpoint, TimePoint sentAt, TimePoint now);
-    /// \brief An answer names a limit that cannot be read; what was known stands.
-    void unreadable(const EndpointIncarnation &endpoint);
+    void recordLimit(const EndpointIncarnation &endpoint, double perSecond, TimePoint now);
+    /// \brief Records a response without a limit. A limit announced after the request was sent
+    /// stays in force.
+    /// \param sentAt when the answered request was sent.
+    void recordNoLimit(const EndpointIncarnation &endpoint, TimePoint sentAt, TimePoint now);
+    /// \brief Records a malformed limit; a known limit stays in force.
+    void recordUnreadable(const EndpointIncarnation &endpoint);
     /// \}
 
     /// \name Peers
     /// \{
-    /// \brief What was heard from endpoints just now, and what is known of those that this entry
-    /// VM tells of in any case.
-    /// \param isTold true for these.
+    /// \brief Limits recently received from endpoints, and those that this entry VM always reports.
+    /// \param isReported true for endpoints that are always reported.
     [[nodiscard]] std::vector<LimitUpdate>
-    updates(TimePoint now, const std::function<bool(const EndpointIncarnation &)> &isTold);
-    /// \brief Takes what a peer tells.
+    updates(TimePoint now, const std::function<bool(const EndpointIncarnation &)> &isReported);
+    /// \brief Applies updates received from a peer.
     void take(const std::vector<LimitUpdate> &updates, TimePoint now);
     /// \}
 
-    /// \brief Drops what was not heard for long.
+    /// \brief Removes limits that have not been announced recently.
     void expire(TimePoint now);
 
-    /// \brief The limit in force; nothing if there is none.
+    /// \brief The limit in force, if any.
     [[nodiscard]] std::optional<EndpointLimit> find(const EndpointIncarnation &endpoint) const;
     [[nodiscard]] std::optional<double>
     perSecond(const EndpointIncarnation &endpoint) const override;
@@ -92,7 +92,7 @@
 private:
     struct Ended
     {
-        TimePoint at_{}; ///< The endpoint said so then, or later.
+        TimePoint at_{}; ///< The endpoint announced it then or later.
         LimitSource source_ = LimitSource::Answer;
     };
 
@@ -101,9 +101,10 @@
     void end(const EndpointIncarnation &endpoint, TimePoint at, LimitSource source, TimePoint now);
 
     std::map<EndpointIncarnation, EndpointLimit> limits_;
-    std::map<EndpointIncarnation, Ended> ended_;  ///< Lately.
-    std::optional<EndpointIncarnation> lastTold_; ///< For the turn of the next ones.
-    std::set<EndpointIncarnation> unreadable_;    ///< Already logged.
+    std::map<EndpointIncarnation, Ended> ended_;      ///< Recently ended limits.
+    std::optional<EndpointIncarnation> lastReported_; ///< Round-robin position for the next digest.
+    /// Endpoints whose malformed limits were already logged.
+    std::set<EndpointIncarnation> unreadable_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/endpoint_notices.hpp
+++ b/include/cardamombay/serving/endpoint_notices.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief What endpoints have said of themselves in their answers: limits, cooldowns, leaving.
-/// \details Keeps each notice with the life of the endpoint that it holds for, since when and until
-/// when. A notice of an earlier life says nothing of a later one. Decides nothing about requests.
+/// \brief Rate limits, cooldowns and shutdown notices announced by endpoints in their responses.
+/// \details Each notice applies to one incarnation of an endpoint and is stored with its start and
+/// end; it does not carry over to a later incarnation. Makes no decisions about requests.
 #pragma once
 
 #include <cardamombay/serving/answer_notices.hpp>
@@ -16,16 +16,16 @@
 
 namespace cardamombay::serving {
 
-/// \brief A time in which an endpoint wants nothing from this entry VM.
+/// \brief A period in which an endpoint accepts nothing from this entry VM.
 struct Cooldown
 {
-    TimePoint since_{}; ///< It has lasted without a gap since then.
+    TimePoint since_{}; ///< Start of the uninterrupted cooldown.
     TimePoint until_{};
 
     [[nodiscard]] Duration left(TimePoint now) const { return until_ - now; }
 };
 
-/// \brief What an entry VM tells its peers of an endpoint that turned it away.
+/// \brief Tells peers that an endpoint has put the sender into a cooldown.
 struct CooldownUpdate
 {
     EndpointIncarnation endpoint_;
@@ -34,20 +34,20 @@
     friend bool operator==(const CooldownUpdate &, const CooldownUpdate &) = default;
 };
 
-/// \brief Adds \p from to \p into; of two that tell of one endpoint the longer one stays.
-/// \param age since \p from was told.
+/// \brief Merges \p from into \p into, keeping the longer cooldown for each endpoint.
+/// \param age time since \p from was sent.
 void mergeUpdates(std::vector<CooldownUpdate> &into, const std::vector<CooldownUpdate> &from,
                   Duration age);
 
-/// \brief The answer that notices came with.
+/// \brief The response that carried the notices.
 struct AnswerOrigin
 {
     EndpointIncarnation endpoint_;
-    TimePoint sentAt_{};        ///< Of the request that is answered.
-    bool mayOmitLimit_ = false; ///< That a limit is not named does not end it.
+    TimePoint sentAt_{};        ///< When the answered request was sent.
+    bool mayOmitLimit_ = false; ///< A missing limit does not end a known one.
 };
 
-/// \brief Notices of all endpoints; belongs to the gateway's thread.
+/// \brief Notices of all endpoints. Not thread-safe: used on the gateway's thread only.
 /// \code
 /// notices.take({endpoint, sentAt}, dialect.answerHead(head).notices_, now);
 /// if (notices.cooldown(endpoint, now))
@@ -56,67 +56,71 @@
 class EndpointNotices
 {
 public:
-    /// \param metrics outlives the notices.
+    /// \param metrics must outlive this object.
     explicit EndpointNotices(GatewayMetrics &metrics);
 
-    /// \brief Takes what an answer says; not for answers of another endpoint at the address.
+    /// \brief Applies the notices of a response. Not for responses from another endpoint at the
+    /// same address.
     void take(const AnswerOrigin &origin, const AnswerNotices &notices, TimePoint now);
 
-    /// \brief Called when an endpoint has said for the first time that it leaves.
+    /// \brief Sets the callback for an endpoint's first shutdown notice.
     void onLeaving(std::function<void(const EndpointIncarnation &)> action)
     {
-        leavingSeen_ = std::move(action);
+        leavingCallback_ = std::move(action);
     }
 
     /// \name Peers
     /// \{
-    /// \brief Cooldowns that began or were named again here just now.
+    /// \brief Cooldowns recently started or renewed at this entry VM.
     [[nodiscard]] std::vector<CooldownUpdate> updates(TimePoint now) const;
-    /// \brief Takes what a peer tells. An endpoint means only the entry VM that it turns away, so
-    /// this is advice: it bars nothing.
+    /// \brief Applies updates from a peer. A cooldown applies only to the entry VM that was
+    /// refused, so here it only lowers the endpoint's priority.
     void take(const std::vector<CooldownUpdate> &updates, TimePoint now);
     /// \}
 
-    /// \brief A send was withheld because of a notice; for the log.
+    /// \brief Counts a send that was withheld because of a notice.
     void countWithheld(const EndpointIncarnation &endpoint);
 
-    /// \brief Drops what is over.
+    /// \brief Removes expired notices.
     void expire(TimePoint now);
 
     /// \name State
     /// \{
     [[nodiscard]] EndpointLimits &limits() { return limits_; }
     [[nodiscard]] const EndpointLimits &limits() const { return limits_; }
-    /// \brief The cooldown in force; nothing if there is none.
+    /// \brief The cooldown in force, if any.
     [[nodiscard]] std::optional<Cooldown> cooldown(const EndpointIncarnation &endpoint,
                                                    TimePoint now) const;
     [[nodiscard]] bool isLeaving(const EndpointIncarnation &endpoint) const;
-    /// \brief True if the endpoint has turned peers away and others should be tried first.
+    /// \brief True if the endpoint has refused peers, so that others should be tried first.
     [[nodiscard]] bool isDeprioritized(const EndpointIncarnation &endpoint, TimePoint now) const;
     /// \}
 
 private:
-    /// A cooldown, and what became of requests meanwhile.
+    /// A cooldown with its request counts.
     struct Record
     {
         Cooldown cooldown_;
-        TimePoint namedAt_{};      ///< Last.
-        std::size_t refusals_ = 0; ///< Answers that asked for it.
-        std::size_t withheld_ = 0; ///< Sends that were not made.
+        TimePoint lastNamedAt_{};  ///< Last.
+        std::size_t refusals_ = 0; ///< Responses that requested the cooldown.
+        std::size_t withheld_ = 0; ///< Sends that were withheld.
     };
 
     void takeLimit(const AnswerOrigin &origin, const AnswerNotices &notices, TimePoint now);
     void takeCooldown(const AnswerOrigin &origin, const AnswerNotices &notices, TimePoint now);
     void takeLeaving(const EndpointIncarnation &endpoint, TimePoint now);
-    void end(const EndpointIncarnation &endpoint, const Record &record, TimePoint now) const;
+    void logCooldownEnd(const EndpointIncarnation &endpoint, const Record &record,
+                        TimePoint now) const;
 
     GatewayMetrics &metrics_;
     EndpointLimits limits_;
     std::map<EndpointIncarnation, Record> cooldowns_;
-    std::map<EndpointIncarnation, TimePoint> advised_; ///< Until when peers are turned away.
-    std::map<EndpointIncarnation, TimePoint> leaving_; ///< When they said so last.
-    std::set<EndpointIncarnation> unreadable_;         ///< Already logged.
-    std::function<void(const EndpointIncarnation &)> leavingSeen_;
+    std::map<EndpointIncarnation, TimePoint>
+        deprioritizedUntil_;                           ///< End of cooldowns reported by peers.
+    std::map<EndpointIncarnation, TimePoint> leaving_; ///< Time of the latest shutdown notice.
+    /// Endpoints whose malformed cooldowns were already logged.
+    std::set<EndpointIncarnation> unreadable_;
+    std::function<void(const EndpointIncarnation &)> leavingCallback_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/reservation_coordinator.hpp
+++ b/include/cardamombay/serving/reservation_coordinator.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Reserves sends to endpoints that limit the rate of requests from all entry VMs together.
-/// \details One entry VM owns each such endpoint, chosen by rendezvous hashing, and books the sends
-/// of all of them. An owner that does not answer is passed over for a while. Guards the limits of
-/// endpoints; decides nothing about which endpoint is best.
+/// \brief Enforces endpoints' rate limits across all entry VMs by reserving each send.
+/// \details Rendezvous hashing assigns each rate-limited endpoint to one entry VM, the owner, which
+/// schedules the sends of all entry VMs. An owner that does not answer is skipped for a while. Does
+/// not choose between endpoints.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -21,47 +21,49 @@
 
 class ReservationCoordinator;
 
-/// \brief One send that was asked for; given back if it is dropped unused. The desk outlives it.
+/// \brief One requested send; returned to the owner if destroyed unused. The coordinator must
+/// outlive it.
 class Reservation
 {
 public:
     enum class State {
-        Pending, ///< The owner has not answered yet.
-        Booked,  ///< It opens at opensAt().
-        Refused, ///< None in time.
+        Pending, ///< Waiting for the owner's answer.
+        Booked,  ///< Due at opensAt_.
+        Refused, ///< No send in time.
         Used,
     };
 
-    Reservation(ReservationCoordinator &desk, EndpointIncarnation endpoint);
+    Reservation(ReservationCoordinator &coordinator, EndpointIncarnation endpoint);
     Reservation(const Reservation &) = delete;
     Reservation &operator=(const Reservation &) = delete;
     ~Reservation();
 
     [[nodiscard]] const EndpointIncarnation &endpoint() const { return endpoint_; }
     [[nodiscard]] State state() const { return state_; }
-    /// \brief True if the send may leave now.
+    /// \brief True if the send is due and has not expired.
     [[nodiscard]] bool isOpen(TimePoint now) const;
-    /// \brief True if it may still become a send.
+    /// \brief True if the reservation can still be used now or later.
     [[nodiscard]] bool isAlive(TimePoint now) const;
-    /// \brief The send leaves.
+    /// \brief Marks the reservation as used.
     void use() { state_ = State::Used; }
 
 private:
     friend class ReservationCoordinator;
 
-    ReservationCoordinator &desk_;
+    ReservationCoordinator &coordinator_;
     EndpointIncarnation endpoint_;
     State state_ = State::Pending;
     TimePoint opensAt_{};
-    Address owner_; ///< Who booked it; empty: this entry VM.
+    Address owner_; ///< The owner that booked it; empty for this entry VM.
     std::function<void()> answered_;
 };
 
-/// \brief One entry VM's side, and its lines as an owner; belongs to the gateway's thread.
+/// \brief Client and owner side of one entry VM. Not thread-safe: used on the gateway's thread
+/// only.
 class ReservationCoordinator
 {
 public:
-    /// \param clock, rates, metrics outlive the desk.
+    /// \param clock, rates, metrics must outlive the coordinator.
     ReservationCoordinator(Clock &clock, const SendRates &rates, GatewayMetrics &metrics,
                            Random random);
 
@@ -73,29 +75,30 @@
     {
         send_ = std::move(send);
     }
-    /// \brief A peer has told something.
+    /// \brief Records that a message from a peer was received.
     void heard(const EntryId &entry);
-    /// \brief This entry VM stops, and owns nothing any more.
+    /// \brief Gives up ownership of all endpoints, since this entry VM is shutting down.
     void leave() { isLeaving_ = true; }
-    /// \returns false if \p text is no message of a desk.
+    /// \returns false if \p text is not a reservation message.
     bool take(std::string_view text);
     /// \}
 
-    /// \brief Asks for a send to \p endpoint that opens within \p within.
-    /// \param answered called once if the answer comes later than the return of this function.
+    /// \brief Requests a send to \p endpoint that becomes due within \p within.
+    /// \param answered called once if the answer arrives after this function has returned.
     [[nodiscard]] std::unique_ptr<Reservation>
     reserve(const EndpointIncarnation &endpoint, Duration within, std::function<void()> answered);
 
     /// \brief True if this entry VM owns \p endpoint.
     [[nodiscard]] bool owns(const EndpointIncarnation &endpoint) const;
 
-    /// \brief Ends what was not answered in time. Call with each sweep.
+    /// \brief Retries or fails requests that timed out. Call periodically.
     void sweep();
 
-    /// \brief True if a send needs a reservation.
+    /// \brief True if sends to the endpoint need a reservation.
     [[nodiscard]] bool isLimited(const EndpointIncarnation &endpoint) const;
 
-    /// \brief Time until a caller may find a send there; nothing if one may open within \p wait.
+    /// \brief Time after which a caller should retry; no value if a send may become due within \p
+    /// wait.
     [[nodiscard]] std::optional<Duration> timeUntilCapacity(const EndpointIncarnation &endpoint,
                                                             Duration wait) const;
 
@@ -104,50 +107,51 @@
 
     struct Owner
     {
-        EntryId entry_; ///< Empty: this entry VM.
+        EntryId entry_; ///< Empty for this entry VM.
         Address address_;
     };
     struct Pending
     {
-        Reservation *reservation_ = nullptr; ///< Null once it was dropped.
+        Reservation *reservation_ = nullptr; ///< Null once released, and for probes.
         EndpointIncarnation endpoint_;
         EntryId owner_;
-        TimePoint askedAt_{};
-        TimePoint until_{}; ///< The send must open by then.
-        std::size_t tries_ = 0;
-        std::size_t asks_ = 0; ///< Of this owner.
+        TimePoint sentAt_{};
+        TimePoint until_{}; ///< The send must be due by then.
+        std::size_t attempts_ = 0;
+        std::size_t ownerAttempts_ = 0; ///< Requests sent to the current owner.
     };
-    /// What the last refusal for an endpoint said.
-    struct Full
+    /// The last refusal for an endpoint.
+    struct Rejection
     {
         TimePoint until_{};
-        TimePoint comeBackAt_{};
-        TimePoint noneBefore_{}; ///< No send opens before.
+        TimePoint retryAt_{};
+        TimePoint noSlotBefore_{}; ///< No send becomes due earlier.
     };
 
     [[nodiscard]] double perSecond(const EndpointIncarnation &endpoint) const;
     [[nodiscard]] Owner ownerOf(const EndpointIncarnation &endpoint) const;
-    [[nodiscard]] Owner passedOver(const EndpointIncarnation &endpoint) const;
-    [[nodiscard]] Owner firstOwner(const EndpointIncarnation &endpoint, bool withSilent) const;
-    [[nodiscard]] bool isSilent(const EntryId &entry) const;
-    [[nodiscard]] bool wasHeard(const EntryId &entry) const;
-    void ask(std::uint64_t number, Pending asked);
-    void askOwner(std::uint64_t number, Pending &asked, const Owner &owner);
-    void askAgain(std::uint64_t number, Pending asked);
-    void bookHere(Reservation &reservation, Duration within);
+    [[nodiscard]] Owner skippedOwner(const EndpointIncarnation &endpoint) const;
+    [[nodiscard]] Owner highestRankedOwner(const EndpointIncarnation &endpoint,
+                                           bool includeUnresponsive) const;
+    [[nodiscard]] bool isUnresponsive(const EntryId &entry) const;
+    [[nodiscard]] bool wasHeardRecently(const EntryId &entry) const;
+    void startRequest(std::uint64_t number, Pending pending);
+    void sendRequest(std::uint64_t number, Pending &pending, const Owner &owner);
+    void retryRequest(std::uint64_t number, Pending pending);
+    void bookLocally(Reservation &reservation, Duration within);
     [[nodiscard]] BookingResult bookAsOwner(const EndpointIncarnation &endpoint, double perSecond,
                                             Duration within);
-    void settle(Reservation *reservation, const EndpointIncarnation &endpoint, TimePoint until,
-                const BookingResult &result, const Address &owner);
-    void tell(Reservation *reservation) const;
-    void drop(Reservation &reservation);
+    void applyResult(Reservation *reservation, const EndpointIncarnation &endpoint, TimePoint until,
+                     const BookingResult &result, const Address &owner);
+    void notifyWaiter(Reservation *reservation) const;
+    void release(Reservation &reservation);
     void returnBooking(const EndpointIncarnation &endpoint, TimePoint opensAt,
                        const Address &owner);
     void take(const ReservationRequest &request);
     void take(const ReservationAnswer &answer);
-    void redirect(Pending asked, const ReservationAnswer &answer);
+    void redirect(Pending pending, const ReservationAnswer &answer);
     void probe(const Owner &owner, const EndpointIncarnation &endpoint);
-    void ownerSilent(const EntryId &owner);
+    void markOwnerUnresponsive(const EntryId &owner);
     void send(const Address &to, std::string_view text) const;
 
     Clock &clock_;
@@ -158,14 +162,14 @@
     bool isLeaving_ = false;
     std::map<EntryId, Address> peers_;
     std::function<void(const Address &, std::string_view)> send_;
-    ReservationScheduler book_;
-    std::uint64_t number_; ///< Of the last request.
-    std::map<std::uint64_t, Pending> asked_;
-    std::map<EndpointIncarnation, Full> full_;
-    std::map<EntryId, TimePoint> silentUntil_;
-    std::map<EntryId, TimePoint> heardAt_; ///< Lately.
-    TimePoint sweptAt_{};
-    TimePoint bookingFrom_{}; ///< Books nothing as an owner before.
+    ReservationScheduler scheduler_;
+    std::uint64_t lastNumber_; ///< Number of the last request.
+    std::map<std::uint64_t, Pending> pending_;
+    std::map<EndpointIncarnation, Rejection> rejections_;
+    std::map<EntryId, TimePoint> unresponsiveUntil_;
+    std::map<EntryId, TimePoint> lastContactAt_; ///< Recent contacts.
+    TimePoint lastSweepAt_{};
+    TimePoint booksFrom_{}; ///< This entry VM books nothing as an owner before.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/reservation_messages.hpp
+++ b/include/cardamombay/serving/reservation_messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What entry VMs tell each other about sends to endpoints with a limit.
+/// \brief Messages between entry VMs that reserve sends to rate-limited endpoints.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -14,21 +14,21 @@
 
 namespace cardamombay::serving {
 
-/// \brief Asks the owner of an endpoint for a send.
+/// \brief Requests a send from the owner of an endpoint.
 struct ReservationRequest
 {
     EntryId from_;
-    Address address_;          ///< Where the answer goes.
-    std::uint64_t number_ = 0; ///< Comes back in the answer.
+    Address address_;          ///< Where to send the answer.
+    std::uint64_t number_ = 0; ///< Echoed in the answer.
     EndpointIncarnation endpoint_;
-    double perSecond_ = 0; ///< The endpoint's limit, as known to the sender.
-    Duration within_{};    ///< The send must open within that time; zero: only asks for a sign.
-    EntryId silentOwner_;  ///< An owner that did not answer; empty if none.
+    double perSecond_ = 0; ///< The endpoint's rate limit as known to the sender.
+    Duration within_{};    ///< The send must be due within this time; zero for a liveness probe.
+    EntryId unresponsiveOwner_; ///< An owner that did not answer the sender; empty if none.
 
     friend bool operator==(const ReservationRequest &, const ReservationRequest &) = default;
 };
 
-/// \brief Answers a request for a send.
+/// \brief Answer to a ReservationRequest.
 struct ReservationAnswer
 {
     enum class Kind {
@@ -38,22 +38,22 @@
     };
 
     EntryId from_;
-    Address address_; ///< Of the sender, or of the owner where that is another one.
+    Address address_; ///< Address of the sender, or of the owner if NotOwner.
     std::uint64_t number_ = 0;
     EndpointIncarnation endpoint_;
     Kind kind_ = Kind::NotOwner;
-    Duration time_{}; ///< Until the send opens, or until the caller may come back.
-    EntryId owner_;   ///< Where the sender is not the owner.
+    Duration time_{}; ///< Until the send is due, or until the caller should retry.
+    EntryId owner_;   ///< Set if NotOwner.
 
     friend bool operator==(const ReservationAnswer &, const ReservationAnswer &) = default;
 };
 
-/// \brief Gives a booked send back.
+/// \brief Returns an unused booking.
 struct ReservationReturn
 {
     EndpointIncarnation endpoint_;
     Duration opensIn_{};
-    Duration openSince_{}; ///< Where it is open already.
+    Duration openSince_{}; ///< How long it has been due, if it is.
 
     friend bool operator==(const ReservationReturn &, const ReservationReturn &) = default;
 };
@@ -63,7 +63,7 @@
 [[nodiscard]] std::string encode(const ReservationRequest &request);
 [[nodiscard]] std::string encode(const ReservationAnswer &answer);
 [[nodiscard]] std::string encode(const ReservationReturn &back);
-/// \returns nothing if \p text is no such message.
+/// \returns no value if \p text is not such a message.
 [[nodiscard]] std::optional<ReservationRequest> decodeReservationRequest(std::string_view text);
 [[nodiscard]] std::optional<ReservationAnswer> decodeReservationAnswer(std::string_view text);
 [[nodiscard]] std::optional<ReservationReturn> decodeReservationReturn(std::string_view text);
--- a/include/cardamombay/serving/reservation_scheduler.hpp
+++ b/include/cardamombay/serving/reservation_scheduler.hpp
@@ -1,8 +1,7 @@
 /// \file
-/// \brief Hands out the sends that an endpoint's limit allows.
-/// \details The owner of an endpoint among the entry VMs keeps one line for it: sends are booked
-/// one after the other, as far apart as the limit asks for. Guards that all entry VMs together keep
-/// to the limit. Does no I/O.
+/// \brief Schedules the sends that an endpoint's rate limit allows.
+/// \details The entry VM that owns an endpoint keeps one queue for it, in which sends are booked at
+/// the interval given by the limit. This enforces the limit across all entry VMs. Does no I/O.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -14,61 +13,63 @@
 
 namespace cardamombay::serving {
 
-/// \brief A send may leave after that time.
+/// \brief A booked send, which becomes due after a delay.
 struct Booked
 {
     Duration opensIn_{};
 };
 
-/// \brief There is no send in time.
+/// \brief No send is available within the requested time.
 struct NoSlotInTime
 {
-    Duration retryAfter_{}; ///< When the caller may find one; later for each caller that is told.
+    /// When the caller should try again; increases with each refused caller.
+    Duration retryAfter_{};
 };
 
 using BookingResult = std::variant<Booked, NoSlotInTime>;
 
-/// \brief Lines of the endpoints that one entry VM owns; belongs to the gateway's thread.
+/// \brief Queues of the endpoints that one entry VM owns. Not thread-safe: used on the gateway's
+/// thread only.
 /// \code
-/// const auto result = book.take(endpoint, 3.4, milliseconds(500), now);
+/// const auto result = scheduler.book(endpoint, 3.4, milliseconds(500), now);
 /// if (const auto *booked = std::get_if<Booked>(&result))
 ///     sendAfter(booked->opensIn_);
 /// \endcode
 class ReservationScheduler
 {
 public:
-    /// \brief Sends are booked that long ahead at most.
+    /// \brief Maximum time that a send is booked in advance.
     static constexpr Duration maxBookingAhead = std::chrono::seconds(1);
-    /// \brief A booked send leaves within that time after it opens, or lapses.
+    /// \brief A booked send expires if it is not used within this time after it becomes due.
     static constexpr Duration bookingValidity = std::chrono::milliseconds(250);
-    /// \brief Also an endpoint that takes nothing gets so many requests a second, since only an
-    /// answer tells that its limit has ended.
+    /// \brief Minimum rate, also for endpoints with a limit of zero, since only a response tells
+    /// that a limit has ended.
     static constexpr double minPerSecond = 0.1;
 
-    /// \brief Books a send that opens within \p within.
+    /// \brief Books a send that becomes due within \p within.
     [[nodiscard]] BookingResult book(const EndpointIncarnation &endpoint, double perSecond,
                                      Duration within, TimePoint now);
 
-    /// \brief Takes back a send that was to open at \p opensAt and is not used.
+    /// \brief Returns an unused booking that becomes due at \p opensAt.
     void returnBooking(const EndpointIncarnation &endpoint, TimePoint opensAt, TimePoint now);
 
-    /// \brief Nothing opens for a while, since others may have booked sends while this entry VM
-    /// stood still.
+    /// \brief Pauses all queues, since other owners may have booked sends while this entry VM was
+    /// unresponsive.
     void suspend(TimePoint now);
 
-    /// \brief Drops the lines of endpoints that nobody asked for lately.
+    /// \brief Removes the queues of endpoints without recent requests.
     void expire(TimePoint now);
 
 private:
-    struct Line
+    struct Queue
     {
-        TimePoint last_{};           ///< When the last booked send opens.
-        TimePoint comeBack_{};       ///< The latest time that a caller was told.
-        std::set<TimePoint> free_{}; ///< Booked sends that were given back.
-        TimePoint askedAt_{};
+        TimePoint lastOpensAt_{};        ///< When the last booked send becomes due.
+        TimePoint latestRetryAt_{};      ///< Latest retry time given to a caller.
+        std::set<TimePoint> returned_{}; ///< Due times of returned bookings.
+        TimePoint lastRequestAt_{};
     };
 
-    std::map<EndpointIncarnation, Line> lines_;
+    std::map<EndpointIncarnation, Queue> queues_;
 };
 
 } // namespace cardamombay::serving
--- a/src/serving/endpoint_limits.cpp
+++ b/src/serving/endpoint_limits.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-/// Change of a limit, as a share of the one before, from which on it is logged.
-constexpr double loggedChange = 0.25;
-
-/// A limit that no answer names any more is dropped after that time.
-constexpr Duration heardWithin = std::chrono::seconds(30);
-/// The end of a limit is remembered for that long, so that older words do not bring it back.
-constexpr Duration endedKeptFor = std::chrono::seconds(5);
-/// What an endpoint said stays in several digests, so that one that is lost does no harm.
-constexpr Duration toldFor = std::chrono::milliseconds(1200);
-/// A word that comes back through peers seems younger by its way.
-constexpr Duration sameWord = std::chrono::milliseconds(50);
-
-/// Endpoints that one digest tells of.
-constexpr std::size_t mostTold = 24;
-/// Limits that are taken from peers.
-constexpr std::size_t mostLimits = 4096;
-
-/// Endpoints whose unreadable limits are remembered as logged.
-constexpr std::size_t mostUnreadable = 256;
+/// Minimum change of a limit that is logged, as a share of the previous limit.
+constexpr double loggedChangeShare = 0.25;
+
+/// A limit that is no longer announced expires after this time.
+constexpr Duration limitLifetime = std::chrono::seconds(30);
+/// How long an ended limit is remembered so that older updates do not restore it.
+constexpr Duration endedRetention = std::chrono::seconds(5);
+/// Updates are repeated in several digests to tolerate the loss of one.
+constexpr Duration reportWindow = std::chrono::milliseconds(1200);
+/// An update echoed by peers appears more recent by its transmission delay.
+constexpr Duration echoTolerance = std::chrono::milliseconds(50);
+
+/// Maximum number of endpoints per digest.
+constexpr std::size_t maxReported = 24;
+/// Maximum number of limits while accepting updates from peers.
+constexpr std::size_t maxLimits = 4096;
+
+/// Maximum number of endpoints remembered as logged for malformed limits.
+constexpr std::size_t maxUnreadableLogged = 256;
 
 void logLimit(const EndpointIncarnation &endpoint, double before, const EndpointLimit &limit,
               TimePoint now)
@@ -70,7 +70,8 @@
     }
 }
 
-void EndpointLimits::stated(const EndpointIncarnation &endpoint, double perSecond, TimePoint now)
+void EndpointLimits::recordLimit(const EndpointIncarnation &endpoint, double perSecond,
+                                 TimePoint now)
 {
     set(endpoint, perSecond, now, LimitSource::Answer, now);
 }
@@ -87,11 +88,12 @@
     limit.perSecond_ = perSecond;
     limit.statedAt_ = statedAt;
     limit.source_ = source;
-    if (isNew || std::abs(perSecond - before) > before * loggedChange)
+    if (isNew || std::abs(perSecond - before) > before * loggedChangeShare)
         logLimit(endpoint, before, limit, now);
 }
 
-void EndpointLimits::notStated(const EndpointIncarnation &endpoint, TimePoint sentAt, TimePoint now)
+void EndpointLimits::recordNoLimit(const EndpointIncarnation &endpoint, TimePoint sentAt,
+                                   TimePoint now)
 {
     const auto found = limits_.find(endpoint);
     if (found != limits_.end() && found->second.statedAt_ < sentAt)
@@ -115,51 +117,51 @@
     for (const auto &one : updates) {
         const auto at = now - one.age_;
         const auto known = limits_.find(one.endpoint_);
-        const bool isOlder = known != limits_.end() && at - known->second.statedAt_ < sameWord;
+        const bool isOlder = known != limits_.end() && at - known->second.statedAt_ < echoTolerance;
         const auto ended = ended_.find(one.endpoint_);
-        const bool hasEnded = ended != ended_.end() && at - ended->second.at_ < sameWord;
-        if (isOlder || hasEnded || one.age_ > heardWithin)
+        const bool hasEnded = ended != ended_.end() && at - ended->second.at_ < echoTolerance;
+        if (isOlder || hasEnded || one.age_ > limitLifetime)
             continue;
         if (!one.perSecond_ && known != limits_.end())
             end(one.endpoint_, at, LimitSource::Peer, now);
-        else if (one.perSecond_ && limits_.size() < mostLimits)
+        else if (one.perSecond_ && limits_.size() < maxLimits)
             set(one.endpoint_, *one.perSecond_, at, LimitSource::Peer, now);
     }
 }
 
 std::vector<LimitUpdate>
 EndpointLimits::updates(TimePoint now,
-                        const std::function<bool(const EndpointIncarnation &)> &isTold)
+                        const std::function<bool(const EndpointIncarnation &)> &isReported)
 {
     std::vector<LimitUpdate> all;
     for (const auto &[endpoint, limit] : limits_) {
         const bool isFresh
-            = limit.source_ == LimitSource::Answer && now - limit.statedAt_ < toldFor;
-        if (isFresh || isTold(endpoint))
+            = limit.source_ == LimitSource::Answer && now - limit.statedAt_ < reportWindow;
+        if (isFresh || isReported(endpoint))
             all.push_back({endpoint, limit.perSecond_, now - limit.statedAt_});
     }
     for (const auto &[endpoint, ended] : ended_) {
-        if (ended.source_ == LimitSource::Answer && now - ended.at_ < toldFor)
+        if (ended.source_ == LimitSource::Answer && now - ended.at_ < reportWindow)
             all.push_back({endpoint, std::nullopt, now - ended.at_});
     }
-    if (all.size() <= mostTold)
+    if (all.size() <= maxReported)
         return all;
-    // All of them in turn.
+    // Rotates through all endpoints over successive digests.
     const auto next = std::find_if(all.begin(), all.end(), [this](const LimitUpdate &one) {
-        return lastTold_ && *lastTold_ < one.endpoint_;
+        return lastReported_ && *lastReported_ < one.endpoint_;
     });
     std::rotate(all.begin(), next == all.end() ? all.begin() : next, all.end());
-    all.resize(mostTold);
-    lastTold_ = all.back().endpoint_;
+    all.resize(maxReported);
+    lastReported_ = all.back().endpoint_;
     return all;
 }
 
 void EndpointLimits::expire(TimePoint now)
 {
-    std::erase_if(ended_, [now](const auto &one) { return now - one.second.at_ > endedKeptFor; });
+    std::erase_if(ended_, [now](const auto &one) { return now - one.second.at_ > endedRetention; });
     std::erase_if(limits_, [now](const auto &one) {
         const auto &[endpoint, limit] = one;
-        const bool isOver = now - limit.statedAt_ > heardWithin;
+        const bool isOver = now - limit.statedAt_ > limitLifetime;
         if (isOver)
             log::info(event::endpointLimitEnded,
                       {{"endpoint", endpoint.text()},
@@ -170,15 +172,15 @@
     });
 }
 
-void EndpointLimits::unreadable(const EndpointIncarnation &endpoint)
+void EndpointLimits::recordUnreadable(const EndpointIncarnation &endpoint)
 {
-    if (unreadable_.size() >= mostUnreadable || !unreadable_.insert(endpoint).second)
+    if (unreadable_.size() >= maxUnreadableLogged || !unreadable_.insert(endpoint).second)
         return;
     const auto found = limits_.find(endpoint);
     log::warning(event::endpointLimitUnreadable,
                  {{"endpoint", endpoint.text()},
                   {"in-force", found == limits_.end() ? "none" : textOf(found->second.perSecond_)},
-                  {"remedy", "the endpoint must name one decimal number"}});
+                  {"remedy", "the endpoint must send a single decimal number"}});
 }
 
 std::optional<EndpointLimit> EndpointLimits::find(const EndpointIncarnation &endpoint) const
--- a/src/serving/endpoint_notices.cpp
+++ b/src/serving/endpoint_notices.cpp
@@ -13,22 +13,23 @@
 
 namespace {
 
-/// A longer cooldown counts as this long: an endpoint that names a year would never be used again.
-constexpr Duration longestCooldown = std::chrono::hours(1);
+/// Longer cooldowns are capped: an endpoint that requested a year would never be used again.
+constexpr Duration maxCooldown = std::chrono::hours(1);
 
-/// An endpoint that leaves is gone long before; one that still answers says it again.
-constexpr Duration leavingKeptFor = std::chrono::hours(1);
+/// How long a shutdown notice is kept. The endpoint is gone long before; if it still responds, it
+/// repeats the notice.
+constexpr Duration leavingRetention = std::chrono::hours(1);
 
-/// What an endpoint said stays in several digests, so that one that is lost does no harm.
-constexpr Duration toldFor = std::chrono::milliseconds(1200);
-/// Endpoints that one digest tells of.
-constexpr std::size_t mostTold = 24;
+/// Updates are repeated in several digests to tolerate the loss of one.
+constexpr Duration reportWindow = std::chrono::milliseconds(1200);
+/// Maximum number of endpoints per digest.
+constexpr std::size_t maxReported = 24;
 
-/// Endpoints of which each kind of notice is kept; bounds memory.
-constexpr std::size_t mostKept = 8192;
+/// Maximum number of endpoints per kind of notice; bounds memory.
+constexpr std::size_t maxRecords = 8192;
 
-/// Endpoints whose unreadable notices are remembered as logged.
-constexpr std::size_t mostUnreadable = 256;
+/// Maximum number of endpoints remembered as logged for malformed cooldowns.
+constexpr std::size_t maxUnreadableLogged = 256;
 
 std::string milliseconds(Duration duration)
 {
@@ -47,7 +48,7 @@
         });
         if (known != into.end())
             known->left_ = std::max(known->left_, left);
-        else if (left > Duration::zero() && into.size() < mostTold)
+        else if (left > Duration::zero() && into.size() < maxReported)
             into.push_back({one.endpoint_, left});
     }
 }
@@ -69,26 +70,26 @@
                                 TimePoint now)
 {
     if (notices.requestsPerSecond_) {
-        limits_.stated(origin.endpoint_, *notices.requestsPerSecond_, now);
+        limits_.recordLimit(origin.endpoint_, *notices.requestsPerSecond_, now);
     } else if (notices.isLimitUnreadable_) {
         metrics_.unreadableLimits_.increment();
-        limits_.unreadable(origin.endpoint_);
+        limits_.recordUnreadable(origin.endpoint_);
     } else if (!origin.mayOmitLimit_) {
-        limits_.notStated(origin.endpoint_, origin.sentAt_, now);
+        limits_.recordNoLimit(origin.endpoint_, origin.sentAt_, now);
     }
 }
 
-/// A shorter cooldown that is named within a longer one does not end that.
+/// A shorter cooldown does not shorten one already in force.
 void EndpointNotices::takeCooldown(const AnswerOrigin &origin, const AnswerNotices &notices,
                                    TimePoint now)
 {
     const auto &endpoint = origin.endpoint_;
     if (notices.isCooldownUnreadable_) {
         metrics_.unreadableCooldowns_.increment();
-        if (unreadable_.size() < mostUnreadable && unreadable_.insert(endpoint).second)
+        if (unreadable_.size() < maxUnreadableLogged && unreadable_.insert(endpoint).second)
             log::warning(event::cooldownUnreadable,
                          {{"endpoint", endpoint.text()},
-                          {"remedy", "the endpoint must name one number of seconds"}});
+                          {"remedy", "the endpoint must send a single number of seconds"}});
         return;
     }
     if (!notices.cooldown_ || *notices.cooldown_ <= Duration::zero())
@@ -96,20 +97,20 @@
     const auto known = cooldowns_.find(endpoint);
     const bool isInForce
         = known != cooldowns_.end() && known->second.cooldown_.left(now) > Duration::zero();
-    if (known == cooldowns_.end() && cooldowns_.size() >= mostKept)
+    if (known == cooldowns_.end() && cooldowns_.size() >= maxRecords)
         return;
     if (known != cooldowns_.end() && !isInForce)
-        end(endpoint, std::exchange(known->second, {}), now);
+        logCooldownEnd(endpoint, std::exchange(known->second, {}), now);
     auto &record = cooldowns_[endpoint];
     ++record.refusals_;
-    record.namedAt_ = now;
+    record.lastNamedAt_ = now;
     if (isInForce) {
         metrics_.refusalsInCooldown_.increment();
     } else {
         metrics_.cooldowns_.increment();
         record.cooldown_.since_ = now;
     }
-    const auto until = now + std::min(*notices.cooldown_, longestCooldown);
+    const auto until = now + std::min(*notices.cooldown_, maxCooldown);
     const bool isLonger = until > record.cooldown_.until_;
     if (isLonger)
         record.cooldown_.until_ = until;
@@ -121,13 +122,13 @@
 
 void EndpointNotices::takeLeaving(const EndpointIncarnation &endpoint, TimePoint now)
 {
-    if (!leaving_.contains(endpoint) && leaving_.size() >= mostKept)
+    if (!leaving_.contains(endpoint) && leaving_.size() >= maxRecords)
         return;
     if (!leaving_.insert_or_assign(endpoint, now).second)
         return;
     log::info(event::endpointSaysLeaving, {{"endpoint", endpoint.text()}});
-    if (leavingSeen_)
-        leavingSeen_(endpoint);
+    if (leavingCallback_)
+        leavingCallback_(endpoint);
 }
 
 std::vector<CooldownUpdate> EndpointNotices::updates(TimePoint now) const
@@ -135,8 +136,8 @@
     std::vector<CooldownUpdate> result;
     for (const auto &[endpoint, record] : cooldowns_) {
         const auto left = record.cooldown_.left(now);
-        const bool isFresh = now - record.namedAt_ < toldFor;
-        if (isFresh && left > Duration::zero() && result.size() < mostTold)
+        const bool isFresh = now - record.lastNamedAt_ < reportWindow;
+        if (isFresh && left > Duration::zero() && result.size() < maxReported)
             result.push_back({endpoint, left});
     }
     return result;
@@ -145,11 +146,11 @@
 void EndpointNotices::take(const std::vector<CooldownUpdate> &updates, TimePoint now)
 {
     for (const auto &one : updates) {
-        const bool isKnown = advised_.contains(one.endpoint_);
-        if (!isKnown && advised_.size() >= mostKept)
+        const bool isKnown = deprioritizedUntil_.contains(one.endpoint_);
+        if (!isKnown && deprioritizedUntil_.size() >= maxRecords)
             continue;
-        auto &until = advised_[one.endpoint_];
-        until = std::max(until, now + std::min(one.left_, longestCooldown));
+        auto &until = deprioritizedUntil_[one.endpoint_];
+        until = std::max(until, now + std::min(one.left_, maxCooldown));
         if (!isKnown && !cooldowns_.contains(one.endpoint_))
             log::info(event::endpointCooldown, {{"endpoint", one.endpoint_.text()},
                                                 {"for-ms", milliseconds(one.left_)},
@@ -165,8 +166,8 @@
         ++found->second.withheld_;
 }
 
-void EndpointNotices::end(const EndpointIncarnation &endpoint, const Record &record,
-                          TimePoint now) const
+void EndpointNotices::logCooldownEnd(const EndpointIncarnation &endpoint, const Record &record,
+                                     TimePoint now) const
 {
     log::info(event::endpointCooldownEnded,
               {{"endpoint", endpoint.text()},
@@ -182,12 +183,12 @@
     for (auto place = cooldowns_.begin(); place != cooldowns_.end();) {
         const bool isOver = place->second.cooldown_.left(now) <= Duration::zero();
         if (isOver)
-            end(place->first, place->second, now);
+            logCooldownEnd(place->first, place->second, now);
         place = isOver ? cooldowns_.erase(place) : std::next(place);
     }
     metrics_.cooldownsInForce_.set(static_cast<double>(cooldowns_.size()));
-    std::erase_if(advised_, [now](const auto &one) { return one.second <= now; });
-    std::erase_if(leaving_, [now](const auto &one) { return now - one.second > leavingKeptFor; });
+    std::erase_if(deprioritizedUntil_, [now](const auto &one) { return one.second <= now; });
+    std::erase_if(leaving_, [now](const auto &one) { return now - one.second > leavingRetention; });
 }
 
 std::optional<Cooldown> EndpointNotices::cooldown(const EndpointIncarnation &endpoint,
@@ -206,8 +207,8 @@
 
 bool EndpointNotices::isDeprioritized(const EndpointIncarnation &endpoint, TimePoint now) const
 {
-    const auto found = advised_.find(endpoint);
-    return found != advised_.end() && found->second > now;
+    const auto found = deprioritizedUntil_.find(endpoint);
+    return found != deprioritizedUntil_.end() && found->second > now;
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/notice_json.cpp
+++ b/src/serving/notice_json.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Availability zones that one message names; more is an error of who tells them.
-constexpr std::size_t mostEvacuated = 256;
+/// Maximum number of zones per message; a message with more is invalid.
+constexpr std::size_t maxEvacuatedZones = 256;
 
-/// Microseconds; an older word is worth nothing.
-constexpr std::uint64_t longestLimitAge = 3'600'000'000;
-/// Microseconds.
-constexpr std::uint64_t longestCooldownTold = 3'600'000'000;
+/// Older limits are ignored.
+constexpr std::uint64_t maxLimitAgeMicroseconds = 3'600'000'000;
+/// Longer cooldowns are ignored.
+constexpr std::uint64_t maxCooldownMicroseconds = 3'600'000'000;
 
 std::optional<LimitUpdate> limitIn(const json::value &value)
 {
@@ -25,7 +25,7 @@
         return std::nullopt;
     const auto age = countIn(parts->at(1));
     const auto rate = parts->size() > 2 ? figureIn(parts->at(2)) : std::nullopt;
-    if (!age || *age > longestLimitAge || (parts->size() > 2 && !rate))
+    if (!age || *age > maxLimitAgeMicroseconds || (parts->size() > 2 && !rate))
         return std::nullopt;
     return LimitUpdate{EndpointIncarnation::parse(textOf(parts->at(0).get_string())), rate,
                        std::chrono::microseconds(*age)};
@@ -37,7 +37,7 @@
     if (parts == nullptr || parts->size() < 2 || !parts->at(0).is_string())
         return std::nullopt;
     const auto left = countIn(parts->at(1));
-    if (!left || *left > longestCooldownTold)
+    if (!left || *left > maxCooldownMicroseconds)
         return std::nullopt;
     return CooldownUpdate{EndpointIncarnation::parse(textOf(parts->at(0).get_string())),
                           std::chrono::microseconds(*left)};
@@ -45,7 +45,7 @@
 
 } // namespace
 
-/// The version and the zones.
+/// Encoded as the version followed by the zones.
 json::array evacuationsArray(const EvacuationState &evacuations)
 {
     json::array result{evacuations.version_.value()};
@@ -54,13 +54,13 @@
     return result;
 }
 
-/// One that cannot be read tells nothing.
+/// Returns an empty state if the value is malformed.
 EvacuationState evacuationsIn(const json::value *value)
 {
     const auto *parts = value == nullptr ? nullptr : value->if_array();
     const auto version
         = parts == nullptr || parts->empty() ? std::nullopt : countIn(parts->front());
-    if (!version || parts->size() > mostEvacuated + 1)
+    if (!version || parts->size() > maxEvacuatedZones + 1)
         return {};
     EvacuationState result{RowVersion(*version), {}};
     for (auto zone = parts->begin() + 1; zone != parts->end(); ++zone) {
@@ -71,7 +71,7 @@
     return result;
 }
 
-/// Endpoint, age and rate; an ended limit has no rate.
+/// Each limit is encoded as endpoint, age and rate; an ended limit has no rate.
 json::array limitsArray(const std::vector<LimitUpdate> &limits)
 {
     json::array result;
@@ -97,7 +97,7 @@
     return result;
 }
 
-/// Endpoint and time that is left.
+/// Each cooldown is encoded as endpoint and remaining time.
 json::array cooldownsArray(const std::vector<CooldownUpdate> &cooldowns)
 {
     json::array result;
--- a/src/serving/notice_json.hpp
+++ b/src/serving/notice_json.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief What entry VMs tell each other of endpoints' notices and of evacuated zones, as messages
-/// hold it. What cannot be read is left out.
+/// \brief JSON encoding of endpoint notices and evacuated zones in messages between entry VMs.
+/// Malformed elements are ignored.
 #pragma once
 
 #include <cardamombay/serving/endpoint_notices.hpp>
--- a/src/serving/reservation_coordinator.cpp
+++ b/src/serving/reservation_coordinator.cpp
@@ -12,41 +12,42 @@
 
 namespace {
 
-/// An owner answers within a few milliseconds; after this time the request or its answer is lost.
-constexpr Duration answerPatience = std::chrono::milliseconds(80);
-/// Requests to one owner without an answer from which on it counts as stopped or cut off.
-constexpr std::size_t asksOfOwner = 4;
-/// An owner that was heard of in this time is there, though messages are lost.
-constexpr Duration heardLately = std::chrono::milliseconds(500);
-/// An owner that did not answer is passed over for that long.
-constexpr Duration silenceHeld = std::chrono::seconds(3);
-/// A process that has just started may not know its peers yet, and take itself for the owner of
-/// endpoints that another one owns; it books nothing for that long.
-constexpr Duration learnsPeersFor = std::chrono::seconds(1);
-/// Messages for one reservation.
-constexpr std::size_t mostTries = 8;
-
-/// An endpoint without a send in time is not asked for again for this share of the time that the
-/// owner named.
-constexpr double fullShare = 0.5;
-constexpr Duration shortestFull = std::chrono::milliseconds(20);
-/// The same where no owner answered.
-constexpr Duration fullWithoutOwner = std::chrono::milliseconds(200);
-
-/// Requests for reservations that wait for an answer.
-constexpr std::size_t mostAsked = 4096;
+/// An owner answers within a few milliseconds; after this time the request or its answer counts as
+/// lost.
+constexpr Duration answerTimeout = std::chrono::milliseconds(80);
+/// Number of unanswered requests after which an owner counts as stopped or unreachable.
+constexpr std::size_t maxOwnerAttempts = 4;
+/// An owner that sent a message within this time is alive, even if requests are lost.
+constexpr Duration livenessWindow = std::chrono::milliseconds(500);
+/// How long an unresponsive owner is skipped.
+constexpr Duration unresponsiveFor = std::chrono::seconds(3);
+/// A newly started process may not know its peers yet and take itself for the owner of other entry
+/// VMs' endpoints, so it books nothing for this time.
+constexpr Duration peerDiscoveryTime = std::chrono::seconds(1);
+/// Maximum number of messages sent per reservation.
+constexpr std::size_t maxAttempts = 8;
+
+/// After a refusal, no further sends are requested for this share of the retry time given by the
+/// owner.
+constexpr double rejectionHoldShare = 0.5;
+constexpr Duration minRejectionHold = std::chrono::milliseconds(20);
+/// Retry time if no owner answered.
+constexpr Duration noOwnerRetryAfter = std::chrono::milliseconds(200);
+
+/// Maximum number of unanswered requests.
+constexpr std::size_t maxPending = 4096;
 
 } // namespace
 
-Reservation::Reservation(ReservationCoordinator &desk, EndpointIncarnation endpoint)
-    : desk_(desk)
+Reservation::Reservation(ReservationCoordinator &coordinator, EndpointIncarnation endpoint)
+    : coordinator_(coordinator)
     , endpoint_(std::move(endpoint))
 {
 }
 
 Reservation::~Reservation()
 {
-    desk_.drop(*this);
+    coordinator_.release(*this);
 }
 
 bool Reservation::isOpen(TimePoint now) const
@@ -65,7 +66,7 @@
     : clock_(clock)
     , rates_(rates)
     , metrics_(metrics)
-    , number_(random.below(std::uint64_t{1} << 32U))
+    , lastNumber_(random.below(std::uint64_t{1} << 32U))
 {
 }
 
@@ -73,7 +74,7 @@
 {
     self_ = std::move(entry);
     address_ = std::move(address);
-    bookingFrom_ = clock_.now() + learnsPeersFor;
+    booksFrom_ = clock_.now() + peerDiscoveryTime;
 }
 
 bool ReservationCoordinator::isLimited(const EndpointIncarnation &endpoint) const
@@ -85,14 +86,14 @@
 ReservationCoordinator::timeUntilCapacity(const EndpointIncarnation &endpoint, Duration wait) const
 {
     const auto now = clock_.now();
-    const auto found = full_.find(endpoint);
-    if (found == full_.end() || now >= found->second.until_)
+    const auto found = rejections_.find(endpoint);
+    if (found == rejections_.end() || now >= found->second.until_)
         return std::nullopt;
-    // A refusal tells nothing to those who can wait much longer.
+    // The refusal does not apply to callers that can wait much longer.
     const auto patience = std::min(wait, ReservationScheduler::maxBookingAhead);
-    if (now + patience > found->second.noneBefore_ + answerPatience)
+    if (now + patience > found->second.noSlotBefore_ + answerTimeout)
         return std::nullopt;
-    return std::max(found->second.comeBackAt_, found->second.until_) - now;
+    return std::max(found->second.retryAt_, found->second.until_) - now;
 }
 
 double ReservationCoordinator::perSecond(const EndpointIncarnation &endpoint) const
@@ -100,15 +101,16 @@
     return rates_.perSecond(endpoint).value_or(0);
 }
 
-bool ReservationCoordinator::isSilent(const EntryId &entry) const
+bool ReservationCoordinator::isUnresponsive(const EntryId &entry) const
 {
-    const auto found = silentUntil_.find(entry);
-    return found != silentUntil_.end() && clock_.now() < found->second;
+    const auto found = unresponsiveUntil_.find(entry);
+    return found != unresponsiveUntil_.end() && clock_.now() < found->second;
 }
 
-/// \param withSilent also those that did not answer lately.
+/// \param includeUnresponsive also considers owners that recently did not answer.
 ReservationCoordinator::Owner
-ReservationCoordinator::firstOwner(const EndpointIncarnation &endpoint, bool withSilent) const
+ReservationCoordinator::highestRankedOwner(const EndpointIncarnation &endpoint,
+                                           bool includeUnresponsive) const
 {
     const auto key = endpoint.text();
     Owner best;
@@ -116,7 +118,7 @@
     auto most = isKnown ? rendezvousWeight(key, self_.text()) : 0;
     for (const auto &[entry, address] : peers_) {
         const auto weight = rendezvousWeight(key, entry.text());
-        if ((isKnown && weight <= most) || (!withSilent && isSilent(entry)))
+        if ((isKnown && weight <= most) || (!includeUnresponsive && isUnresponsive(entry)))
             continue;
         best = {entry, address};
         most = weight;
@@ -128,15 +130,16 @@
 ReservationCoordinator::Owner
 ReservationCoordinator::ownerOf(const EndpointIncarnation &endpoint) const
 {
-    return firstOwner(endpoint, false);
+    return highestRankedOwner(endpoint, false);
 }
 
-/// The entry VM that would own the endpoint if it were not silent; without a name if that is none.
+/// The unresponsive entry VM that would otherwise own the endpoint; its name is empty if there is
+/// none.
 ReservationCoordinator::Owner
-ReservationCoordinator::passedOver(const EndpointIncarnation &endpoint) const
+ReservationCoordinator::skippedOwner(const EndpointIncarnation &endpoint) const
 {
-    const auto first = firstOwner(endpoint, true);
-    return isSilent(first.entry_) ? first : Owner{};
+    const auto first = highestRankedOwner(endpoint, true);
+    return isUnresponsive(first.entry_) ? first : Owner{};
 }
 
 bool ReservationCoordinator::owns(const EndpointIncarnation &endpoint) const
@@ -151,38 +154,38 @@
     metrics_.reservations_.increment();
     auto reservation = std::make_unique<Reservation>(*this, endpoint);
     if (owns(endpoint)) {
-        bookHere(*reservation, within);
+        bookLocally(*reservation, within);
         return reservation;
     }
     reservation->answered_ = std::move(answered);
     const auto now = clock_.now();
-    ask(++number_, {reservation.get(), endpoint, {}, now, now + within});
+    startRequest(++lastNumber_, {reservation.get(), endpoint, {}, now, now + within});
     return reservation;
 }
 
-void ReservationCoordinator::bookHere(Reservation &reservation, Duration within)
+void ReservationCoordinator::bookLocally(Reservation &reservation, Duration within)
 {
     const auto &endpoint = reservation.endpoint_;
     const auto now = clock_.now();
-    settle(&reservation, endpoint, now + within, bookAsOwner(endpoint, perSecond(endpoint), within),
-           {});
+    applyResult(&reservation, endpoint, now + within,
+                bookAsOwner(endpoint, perSecond(endpoint), within), {});
 }
 
 BookingResult ReservationCoordinator::bookAsOwner(const EndpointIncarnation &endpoint,
                                                   double perSecond, Duration within)
 {
     const auto now = clock_.now();
-    if (now < bookingFrom_)
-        return NoSlotInTime{bookingFrom_ - now};
-    return book_.book(endpoint, perSecond, within, now);
+    if (now < booksFrom_)
+        return NoSlotInTime{booksFrom_ - now};
+    return scheduler_.book(endpoint, perSecond, within, now);
 }
 
-/// \param reservation null if it was dropped meanwhile.
-/// \param until the send had to open by then.
-/// \param owner who booked it; empty for this entry VM.
-void ReservationCoordinator::settle(Reservation *reservation, const EndpointIncarnation &endpoint,
-                                    TimePoint until, const BookingResult &result,
-                                    const Address &owner)
+/// \param reservation null if it was released in the meantime.
+/// \param until latest time at which the send had to become due.
+/// \param owner owner that booked it; empty for this entry VM.
+void ReservationCoordinator::applyResult(Reservation *reservation,
+                                         const EndpointIncarnation &endpoint, TimePoint until,
+                                         const BookingResult &result, const Address &owner)
 {
     const auto now = clock_.now();
     if (const auto *booked = std::get_if<Booked>(&result)) {
@@ -191,39 +194,40 @@
             returnBooking(endpoint, opensAt, owner);
             return;
         }
-        full_.erase(endpoint);
+        rejections_.erase(endpoint);
         reservation->state_ = Reservation::State::Booked;
         reservation->opensAt_ = opensAt;
         reservation->owner_ = owner;
         return;
     }
     metrics_.reservationsRefused_.increment();
-    const auto comeBackIn = std::get<NoSlotInTime>(result).retryAfter_;
-    const auto pause = std::max(shortestFull, fromSeconds(toSeconds(comeBackIn) * fullShare));
-    full_[endpoint] = {now + pause, now + comeBackIn, until};
+    const auto retryAfter = std::get<NoSlotInTime>(result).retryAfter_;
+    const auto pause
+        = std::max(minRejectionHold, fromSeconds(toSeconds(retryAfter) * rejectionHoldShare));
+    rejections_[endpoint] = {now + pause, now + retryAfter, until};
     if (reservation != nullptr)
         reservation->state_ = Reservation::State::Refused;
 }
 
-void ReservationCoordinator::tell(Reservation *reservation) const
+void ReservationCoordinator::notifyWaiter(Reservation *reservation) const
 {
     if (reservation == nullptr)
         return;
-    // It may drop the reservation.
+    // The callback may destroy the reservation.
     const auto answered = std::exchange(reservation->answered_, {});
     if (answered)
         answered();
 }
 
-void ReservationCoordinator::drop(Reservation &reservation)
+void ReservationCoordinator::release(Reservation &reservation)
 {
     if (reservation.state_ == Reservation::State::Booked) {
         returnBooking(reservation.endpoint_, reservation.opensAt_, reservation.owner_);
         return;
     }
-    for (auto &[number, asked] : asked_) {
-        if (asked.reservation_ == &reservation)
-            asked.reservation_ = nullptr;
+    for (auto &[number, pending] : pending_) {
+        if (pending.reservation_ == &reservation)
+            pending.reservation_ = nullptr;
     }
 }
 
@@ -232,33 +236,33 @@
 {
     const auto now = clock_.now();
     metrics_.reservationsReturned_.increment();
-    full_.erase(endpoint);
+    rejections_.erase(endpoint);
     if (owner.ip_.empty())
-        book_.returnBooking(endpoint, opensAt, now);
+        scheduler_.returnBooking(endpoint, opensAt, now);
     else
         send(owner, encode(ReservationReturn{endpoint, std::max(Duration::zero(), opensAt - now),
                                              std::max(Duration::zero(), now - opensAt)}));
 }
 
-void ReservationCoordinator::ask(std::uint64_t number, Pending asked)
+void ReservationCoordinator::startRequest(std::uint64_t number, Pending pending)
 {
-    if (asked_.size() >= mostAsked)
-        asked_.erase(asked_.begin());
-    askOwner(number, asked, ownerOf(asked.endpoint_));
-    asked_[number] = std::move(asked);
+    if (pending_.size() >= maxPending)
+        pending_.erase(pending_.begin());
+    sendRequest(number, pending, ownerOf(pending.endpoint_));
+    pending_[number] = std::move(pending);
 }
 
-void ReservationCoordinator::askOwner(std::uint64_t number, Pending &asked, const Owner &owner)
+void ReservationCoordinator::sendRequest(std::uint64_t number, Pending &pending, const Owner &owner)
 {
     const auto now = clock_.now();
-    asked.asks_ = asked.owner_ == owner.entry_ ? asked.asks_ + 1 : 1;
-    asked.owner_ = owner.entry_;
-    asked.askedAt_ = now;
-    ++asked.tries_;
-    send(owner.address_, encode(ReservationRequest{self_, address_, number, asked.endpoint_,
-                                                   perSecond(asked.endpoint_),
-                                                   std::max(Duration::zero(), asked.until_ - now),
-                                                   passedOver(asked.endpoint_).entry_}));
+    pending.ownerAttempts_ = pending.owner_ == owner.entry_ ? pending.ownerAttempts_ + 1 : 1;
+    pending.owner_ = owner.entry_;
+    pending.sentAt_ = now;
+    ++pending.attempts_;
+    send(owner.address_, encode(ReservationRequest{self_, address_, number, pending.endpoint_,
+                                                   perSecond(pending.endpoint_),
+                                                   std::max(Duration::zero(), pending.until_ - now),
+                                                   skippedOwner(pending.endpoint_).entry_}));
 }
 
 bool ReservationCoordinator::take(std::string_view text)
@@ -273,7 +277,7 @@
     }
     if (const auto back = decodeReservationReturn(text)) {
         const auto now = clock_.now();
-        book_.returnBooking(back->endpoint_, now + back->opensIn_ - back->openSince_, now);
+        scheduler_.returnBooking(back->endpoint_, now + back->opensIn_ - back->openSince_, now);
         return true;
     }
     return false;
@@ -287,14 +291,14 @@
     answer.number_ = request.number_;
     answer.endpoint_ = request.endpoint_;
     const auto owner = ownerOf(request.endpoint_);
-    // The owner whose place this one has taken may be back.
-    if (const auto silent = passedOver(request.endpoint_); !silent.entry_.isEmpty())
-        probe(silent, request.endpoint_);
+    // The owner that this entry VM replaces may be back.
+    if (const auto skipped = skippedOwner(request.endpoint_); !skipped.entry_.isEmpty())
+        probe(skipped, request.endpoint_);
     if (!owner.entry_.isEmpty()) {
         answer.kind_ = ReservationAnswer::Kind::NotOwner;
         answer.owner_ = owner.entry_;
         answer.address_ = owner.address_;
-        if (owner.entry_ == request.silentOwner_)
+        if (owner.entry_ == request.unresponsiveOwner_)
             probe(owner, request.endpoint_);
     } else if (request.within_ <= Duration::zero()) {
         answer.kind_ = ReservationAnswer::Kind::NoSlotInTime;
@@ -313,130 +317,135 @@
 void ReservationCoordinator::take(const ReservationAnswer &answer)
 {
     heard(answer.from_);
-    auto node = asked_.extract(answer.number_);
+    auto node = pending_.extract(answer.number_);
     const bool isBooked = answer.kind_ == ReservationAnswer::Kind::Booked;
     if (!node) {
-        // It came too late, and another one was asked instead.
+        // The answer came too late; another owner was asked instead.
         if (isBooked)
             returnBooking(answer.endpoint_, clock_.now() + answer.time_, answer.address_);
         return;
     }
-    auto &asked = node.mapped();
+    auto &pending = node.mapped();
     if (answer.kind_ == ReservationAnswer::Kind::NotOwner) {
-        redirect(std::move(asked), answer);
+        redirect(std::move(pending), answer);
         return;
     }
     const auto result = isBooked ? BookingResult(Booked{answer.time_})
                                  : BookingResult(NoSlotInTime{answer.time_});
-    // An answer to a probe says nothing of the endpoint.
-    if (asked.reservation_ != nullptr || isBooked)
-        settle(asked.reservation_, asked.endpoint_, asked.until_, result, answer.address_);
-    tell(asked.reservation_);
+    // An answer to a probe contains no information about the endpoint.
+    if (pending.reservation_ != nullptr || isBooked)
+        applyResult(pending.reservation_, pending.endpoint_, pending.until_, result,
+                    answer.address_);
+    notifyWaiter(pending.reservation_);
 }
 
-/// Entry VMs may see different peers for a while, and one that was silent may be back.
-void ReservationCoordinator::redirect(Pending asked, const ReservationAnswer &answer)
+/// Entry VMs may temporarily know different peers, and an unresponsive owner may be back.
+void ReservationCoordinator::redirect(Pending pending, const ReservationAnswer &answer)
 {
-    if (asked.reservation_ == nullptr)
+    if (pending.reservation_ == nullptr)
         return;
     const auto now = clock_.now();
-    if (asked.tries_ >= mostTries || now >= asked.until_) {
-        settle(asked.reservation_, asked.endpoint_, now + ReservationScheduler::maxBookingAhead,
-               NoSlotInTime{fullWithoutOwner}, {});
+    if (pending.attempts_ >= maxAttempts || now >= pending.until_) {
+        applyResult(pending.reservation_, pending.endpoint_,
+                    now + ReservationScheduler::maxBookingAhead, NoSlotInTime{noOwnerRetryAfter},
+                    {});
     } else if (answer.owner_ == self_) {
-        bookHere(*asked.reservation_, asked.until_ - now);
+        bookLocally(*pending.reservation_, pending.until_ - now);
     } else {
-        const auto number = ++number_;
-        askOwner(number, asked, {answer.owner_, answer.address_});
-        asked_[number] = std::move(asked);
+        const auto number = ++lastNumber_;
+        sendRequest(number, pending, {answer.owner_, answer.address_});
+        pending_[number] = std::move(pending);
         return;
     }
-    tell(asked.reservation_);
+    notifyWaiter(pending.reservation_);
 }
 
-/// Finds out whether an owner that another entry VM gets no answer from answers this one.
+/// Checks whether an owner that does not answer another entry VM answers this one.
 void ReservationCoordinator::probe(const Owner &owner, const EndpointIncarnation &endpoint)
 {
-    const bool isUnderWay = std::any_of(asked_.begin(), asked_.end(), [&owner](const auto &one) {
-        return one.second.reservation_ == nullptr && one.second.owner_ == owner.entry_;
-    });
+    const bool isUnderWay
+        = std::any_of(pending_.begin(), pending_.end(), [&owner](const auto &one) {
+              return one.second.reservation_ == nullptr && one.second.owner_ == owner.entry_;
+          });
     if (isUnderWay)
         return;
     const auto now = clock_.now();
-    const auto number = ++number_;
-    Pending asked{nullptr, endpoint, {}, now, now};
-    askOwner(number, asked, owner);
-    asked_[number] = std::move(asked);
+    const auto number = ++lastNumber_;
+    Pending pending{nullptr, endpoint, {}, now, now};
+    sendRequest(number, pending, owner);
+    pending_[number] = std::move(pending);
 }
 
 void ReservationCoordinator::heard(const EntryId &entry)
 {
-    heardAt_[entry] = clock_.now();
-    silentUntil_.erase(entry);
+    lastContactAt_[entry] = clock_.now();
+    unresponsiveUntil_.erase(entry);
 }
 
-bool ReservationCoordinator::wasHeard(const EntryId &entry) const
+bool ReservationCoordinator::wasHeardRecently(const EntryId &entry) const
 {
-    const auto found = heardAt_.find(entry);
-    return found != heardAt_.end() && clock_.now() - found->second <= heardLately;
+    const auto found = lastContactAt_.find(entry);
+    return found != lastContactAt_.end() && clock_.now() - found->second <= livenessWindow;
 }
 
-void ReservationCoordinator::ownerSilent(const EntryId &owner)
+void ReservationCoordinator::markOwnerUnresponsive(const EntryId &owner)
 {
     const auto now = clock_.now();
-    if (!isSilent(owner)) {
+    if (!isUnresponsive(owner)) {
         metrics_.silentOwners_.increment();
         log::info(
             event::limitOwnerSilent,
-            {{"entry", owner.text()}, {"for-ms", std::to_string(toMilliseconds(silenceHeld))}});
+            {{"entry", owner.text()}, {"for-ms", std::to_string(toMilliseconds(unresponsiveFor))}});
     }
-    silentUntil_[owner] = now + silenceHeld;
+    unresponsiveUntil_[owner] = now + unresponsiveFor;
 }
 
 void ReservationCoordinator::sweep()
 {
     const auto now = clock_.now();
     std::vector<std::map<std::uint64_t, Pending>::node_type> overdue;
-    for (auto place = asked_.begin(); place != asked_.end();) {
+    for (auto place = pending_.begin(); place != pending_.end();) {
         const auto next = std::next(place);
-        if (now - place->second.askedAt_ > answerPatience)
-            overdue.push_back(asked_.extract(place));
+        if (now - place->second.sentAt_ > answerTimeout)
+            overdue.push_back(pending_.extract(place));
         place = next;
     }
-    // Others have passed this one over by then.
-    if (now - std::exchange(sweptAt_, now) > answerPatience * asksOfOwner)
-        book_.suspend(now);
+    // Other entry VMs have taken over ownership by then.
+    if (now - std::exchange(lastSweepAt_, now) > answerTimeout * maxOwnerAttempts)
+        scheduler_.suspend(now);
     for (auto &node : overdue)
-        askAgain(node.key(), std::move(node.mapped()));
-    book_.expire(now);
-    std::erase_if(full_, [now](const auto &one) { return now >= one.second.until_; });
-    std::erase_if(silentUntil_, [now](const auto &one) { return now >= one.second; });
-    std::erase_if(heardAt_, [now](const auto &one) { return now - one.second > heardLately; });
+        retryRequest(node.key(), std::move(node.mapped()));
+    scheduler_.expire(now);
+    std::erase_if(rejections_, [now](const auto &one) { return now >= one.second.until_; });
+    std::erase_if(unresponsiveUntil_, [now](const auto &one) { return now >= one.second; });
+    std::erase_if(lastContactAt_,
+                  [now](const auto &one) { return now - one.second > livenessWindow; });
 }
 
-/// The number stays: if both requests are answered, the second send is given back.
-void ReservationCoordinator::askAgain(std::uint64_t number, Pending asked)
+/// Keeps the number, so that if both requests are answered the second booking is returned.
+void ReservationCoordinator::retryRequest(std::uint64_t number, Pending pending)
 {
     const auto now = clock_.now();
-    const bool isProbe = asked.reservation_ == nullptr;
-    if (asked.asks_ >= asksOfOwner && !wasHeard(asked.owner_)) {
-        ownerSilent(asked.owner_);
+    const bool isProbe = pending.reservation_ == nullptr;
+    if (pending.ownerAttempts_ >= maxOwnerAttempts && !wasHeardRecently(pending.owner_)) {
+        markOwnerUnresponsive(pending.owner_);
         if (isProbe)
             return;
     }
-    const bool isTooLate = asked.tries_ >= mostTries || (!isProbe && now >= asked.until_);
-    if (!isTooLate && !owns(asked.endpoint_)) {
-        ask(number, std::move(asked));
+    const bool isTooLate = pending.attempts_ >= maxAttempts || (!isProbe && now >= pending.until_);
+    if (!isTooLate && !owns(pending.endpoint_)) {
+        startRequest(number, std::move(pending));
         return;
     }
     if (isProbe)
         return;
     if (isTooLate)
-        settle(asked.reservation_, asked.endpoint_, now + ReservationScheduler::maxBookingAhead,
-               NoSlotInTime{fullWithoutOwner}, {});
+        applyResult(pending.reservation_, pending.endpoint_,
+                    now + ReservationScheduler::maxBookingAhead, NoSlotInTime{noOwnerRetryAfter},
+                    {});
     else
-        bookHere(*asked.reservation_, asked.until_ - now);
-    tell(asked.reservation_);
+        bookLocally(*pending.reservation_, pending.until_ - now);
+    notifyWaiter(pending.reservation_);
 }
 
 void ReservationCoordinator::send(const Address &to, std::string_view text) const
--- a/src/serving/reservation_messages.cpp
+++ b/src/serving/reservation_messages.cpp
@@ -23,8 +23,8 @@
         {"from", request.from_.text()},     {"address", request.address_.text()},
         {"number", request.number_},        {"endpoint", request.endpoint_.text()},
         {"per_second", request.perSecond_}, {"within", microsecondsOf(request.within_)}};
-    if (!request.silentOwner_.isEmpty())
-        params["silent"] = request.silentOwner_.text();
+    if (!request.unresponsiveOwner_.isEmpty())
+        params["silent"] = request.unresponsiveOwner_.text();
     return notification(requestMethod, std::move(params));
 }
 
--- a/src/serving/seat_json.cpp
+++ b/src/serving/seat_json.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Parts of an entry VM: name, address, zone and capacity.
-constexpr std::size_t seatParts = 4;
+/// An entry VM is encoded as name, address, zone and capacity.
+constexpr std::size_t seatFieldCount = 4;
 
 } // namespace
 
@@ -35,7 +35,7 @@
     for (const auto &one : *seats) {
         const auto *seat = one.if_array();
         const bool isWhole
-            = seat != nullptr && seat->size() == seatParts && figureIn(seat->at(3))
+            = seat != nullptr && seat->size() == seatFieldCount && figureIn(seat->at(3))
               && std::all_of(seat->begin(), seat->begin() + 3,
                              [](const json::value &part) { return part.is_string(); });
         if (!isWhole)
--- a/src/serving/seat_json.hpp
+++ b/src/serving/seat_json.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Entry VMs with their addresses, as messages between entry VMs hold them.
+/// \brief JSON encoding of entry VMs and their addresses in messages between entry VMs.
 #pragma once
 
 #include <cardamombay/serving/peer_digests.hpp>
@@ -13,7 +13,7 @@
 
 [[nodiscard]] boost::json::array seatsArray(std::span<const PeerSeat> seats);
 
-/// \brief Entries that cannot be read are left out.
+/// \brief Malformed entries are ignored.
 [[nodiscard]] std::vector<PeerSeat> seatsIn(const boost::json::value *value);
 
 } // namespace cardamombay::serving::impl
