--- a/include/cardamombay/serving/evacuations.hpp
+++ b/include/cardamombay/serving/evacuations.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Availability zones that operators empty: their endpoints get no requests.
-/// \details Operators name such a zone in a row of their table and delete the row to take it back.
-/// Entry VMs that watch the table tell the others the whole set with the version that it is of, so
-/// that the newest one stands whoever tells it. Decides nothing about requests.
+/// \brief Availability zones under evacuation, whose endpoints get no requests.
+/// \details Operators add a table row to evacuate a zone and delete it to return the zone to
+/// service. Entry VMs that watch the table send the complete set with its version to the others, so
+/// that the newest version wins regardless of the sender. Makes no decisions about requests.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -12,40 +12,40 @@
 
 namespace cardamombay::serving {
 
-/// \brief The zones that were evacuated at one version of the operators' table.
+/// \brief Evacuated zones as of one version of the operators' table.
 struct EvacuationState
 {
-    RowVersion version_; ///< Of the newest change that it holds; none if there was never one.
+    RowVersion version_; ///< Version of the latest change; none if no zone was ever evacuated.
     std::set<AvailabilityZone> zones_;
 
     friend bool operator==(const EvacuationState &, const EvacuationState &) = default;
 };
 
-/// \brief What one entry VM knows of evacuated zones; belongs to the control thread.
+/// \brief Evacuated zones known to one entry VM. Not thread-safe: used on the control thread only.
 /// \code
 /// if (evacuations.changed(zone, true, row.version_))
-///     book.setEvacuated(evacuations.zones());
+///     endpointRegistry.setEvacuated(evacuations.zones());
 /// \endcode
 class Evacuations
 {
 public:
-    /// \name News
-    /// \returns true if the zones are others than before.
+    /// \name Updates
+    /// \returns true if the set of zones changed.
     /// \{
-    /// \brief The whole table was listed.
-    /// \param keepsKnown the store may lack what it had acknowledged: zones that are evacuated stay
-    /// so.
+    /// \brief Applies a complete listing of the table.
+    /// \param keepsKnown keeps zones already evacuated, since the store may have lost acknowledged
+    /// writes.
     bool listed(std::set<AvailabilityZone> zones, RowVersion version, bool keepsKnown);
-    /// \brief An operator evacuates a zone or takes that back.
+    /// \brief Applies an operator's change: a zone is evacuated or returned to service.
     bool changed(const AvailabilityZone &zone, bool isEvacuated, RowVersion version);
-    /// \brief A peer tells what it knows.
+    /// \brief Applies the state of a peer.
     bool take(const EvacuationState &state);
     /// \}
 
     [[nodiscard]] const EvacuationState &state() const { return state_; }
     [[nodiscard]] const std::set<AvailabilityZone> &zones() const { return state_.zones_; }
 
-    /// \brief True if peers must be told: there is, or was, a zone to tell of.
+    /// \brief True if a zone is or was evacuated, so that peers must be informed.
     [[nodiscard]] bool hasState() const { return !state_.version_.isNone(); }
 
 private:
--- a/include/cardamombay/serving/request_regions.hpp
+++ b/include/cardamombay/serving/request_regions.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief The regions in which a request may run.
-/// \details Operators bind routes and teams to regions; where both are bound, both hold. Guards
-/// that no request reaches an endpoint elsewhere.
+/// \brief Regions in which a request may be served.
+/// \details Operators can restrict routes and teams to regions. If both are restricted, both
+/// restrictions apply. No request may reach an endpoint outside them.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -11,7 +11,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief Bounds of one request; the lists belong to its configuration.
+/// \brief Region restrictions of one request; the spans refer to its configuration.
 struct RequestRegions
 {
     std::span<const RegionName> ofRoute_; ///< Empty: any.
@@ -19,7 +19,7 @@
 
     [[nodiscard]] bool isBound() const { return !ofRoute_.empty() || !ofTeam_.empty(); }
 
-    /// \param region empty if it is not known, which only an unbound request allows.
+    /// \param region empty if unknown, which only an unrestricted request accepts.
     [[nodiscard]] bool allow(const RegionName &region) const
     {
         const auto allows = [&region](std::span<const RegionName> regions) {
--- a/include/cardamombay/serving/route_table.hpp
+++ b/include/cardamombay/serving/route_table.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// \brief Lookup of routes, services and teams of one configuration.
-/// \details Decides which route a request takes and whose key it shows, and nothing else.
-/// Immutable, so requests under way keep the table they began with.
+/// \brief Looks up the routes, services and teams of one configuration.
+/// \details Immutable, so requests in progress keep the table they started with.
 #pragma once
 
 #include <cardamombay/serving/configuration.hpp>
@@ -12,7 +11,7 @@
 
 namespace cardamombay::serving {
 
-/// \brief Routes by host and longest prefix, teams by key.
+/// \brief Finds routes by host and longest path prefix, and teams by key.
 /// \code
 /// const RouteTable table(configuration);
 /// if (const auto *route = table.route("studio.example", "/scripts/7"))
@@ -25,7 +24,7 @@
     RouteTable(const RouteTable &) = delete;
     RouteTable &operator=(const RouteTable &) = delete;
 
-    /// \brief The route of \p host whose prefix is the longest that begins \p path; null if none.
+    /// \brief The route of \p host with the longest prefix of \p path; null if none matches.
     /// \param host in any case, with or without a port.
     /// \param path with or without a query.
     [[nodiscard]] const Route *route(std::string_view host, std::string_view path) const;
@@ -47,8 +46,8 @@
 };
 
 /// \brief Chooses a backend of \p route by weight.
-/// \param draw a number in [0, 1).
-/// \returns null if the route has no backend of any weight.
+/// \param draw a random number in [0, 1).
+/// \returns null if no backend of the route has a positive weight.
 [[nodiscard]] const Backend *chooseBackend(const Route &route, double draw);
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/servable.hpp
+++ b/include/cardamombay/serving/servable.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Says of a request whether any group could serve it.
-/// \details Decides only what is certain: by the operators' declaration and by the fastest that a
-/// group of engines can work, not by the present load. Such a request is rejected at once in place
-/// of waiting for room that cannot help it.
+/// \brief Checks whether any group could serve a request.
+/// \details Considers only the configuration and the best possible speed of a group, not the
+/// current load. A request that fails the check is rejected immediately, since waiting for capacity
+/// could not help it.
 #pragma once
 
 #include <cardamombay/serving/configuration.hpp>
@@ -12,17 +12,17 @@
 
 namespace cardamombay::serving {
 
-/// \brief What a request needs of the engines of a service.
+/// \brief Properties of a request that determine whether a group can serve it.
 struct RequestNeeds
 {
     ModelName model_;
     std::size_t promptTokens_ = 0;
-    Duration timeLeft_{}; ///< Until its caller gives up.
+    Duration timeLeft_{}; ///< Time until the caller's deadline.
 };
 
-/// \brief Why no group of \p service can serve the request, whatever its load; absent if one may.
-/// \returns a reason for the log and the caller. Plain services serve all requests.
+/// \brief Why no group of \p service can serve the request even without load; no value if one may.
+/// \returns a reason for the log and the caller. Plain services can serve any request.
 [[nodiscard]] std::optional<std::string_view> unservableReason(const Service &service,
-                                                               const RequestNeeds &demand);
+                                                               const RequestNeeds &needs);
 
 } // namespace cardamombay::serving
--- a/src/serving/evacuations.cpp
+++ b/src/serving/evacuations.cpp
@@ -8,7 +8,7 @@
 {
     if (version < state_.version_)
         return false;
-    // While no zone was ever evacuated there is nothing to tell, and no version.
+    // The version stays unset until a zone is evacuated for the first time.
     if (zones.empty() && state_.version_.isNone())
         return false;
     if (keepsKnown)
--- a/src/serving/route_table.cpp
+++ b/src/serving/route_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string normalHost(std::string_view host)
+std::string normalizedHost(std::string_view host)
 {
     const auto colon = host.rfind(':');
     std::string result(host.substr(0, colon));
@@ -17,7 +17,7 @@
     return result;
 }
 
-bool isLonger(const Route *left, const Route *right)
+bool hasLongerPrefix(const Route *left, const Route *right)
 {
     return left->prefix_.size() > right->prefix_.size();
 }
@@ -28,9 +28,9 @@
     : configuration_(std::move(configuration))
 {
     for (const auto &route : configuration_.routes_)
-        routesByHost_[normalHost(route.host_)].push_back(&route);
+        routesByHost_[normalizedHost(route.host_)].push_back(&route);
     for (auto &[host, routes] : routesByHost_)
-        std::stable_sort(routes.begin(), routes.end(), isLonger);
+        std::stable_sort(routes.begin(), routes.end(), hasLongerPrefix);
     for (const auto &team : configuration_.teams_) {
         for (const auto &key : team.keys_)
             teamsByKey_.emplace(key, &team);
@@ -41,7 +41,7 @@
 
 const Route *RouteTable::route(std::string_view host, std::string_view path) const
 {
-    const auto routes = routesByHost_.find(normalHost(host));
+    const auto routes = routesByHost_.find(normalizedHost(host));
     if (routes == routesByHost_.end())
         return nullptr;
     path = path.substr(0, path.find('?'));
--- a/tests/serving/request_regions.cpp
+++ b/tests/serving/request_regions.cpp
@@ -1,4 +1,4 @@
-// Routes and teams that are bound to regions.
+// Tests routes and teams that are restricted to regions.
 #include "support/gateway_fixture.hpp"
 
 #include <criterion/criterion.h>
@@ -17,7 +17,7 @@
     return {names.begin(), names.end()};
 }
 
-/// Endpoint p-0 is in region "north", p-1 in "south"; team A is bound to \p team.
+/// Endpoint p-0 is in region "north", p-1 in "south"; team A is restricted to \p team.
 class RegionFixture : public GatewayFixture
 {
 public:
@@ -41,7 +41,7 @@
         endpointRegistry_.put(endpoint);
     }
 
-    /// True if all of several requests go to \p endpoint.
+    /// True if several requests all go to \p endpoint.
     [[nodiscard]] bool goesOnlyTo(const std::string &endpoint)
     {
         for (int i = 0; i < 6; ++i) {
@@ -76,18 +76,18 @@
     for (const auto &[route, team] :
          {std::pair(std::vector<std::string>{"north"}, std::vector<std::string>{"south"}),
           std::pair(std::vector<std::string>{"east"}, std::vector<std::string>{})}) {
-        RegionFixture bench(route, team);
-        const auto plain = bench.ask(path);
+        RegionFixture fixture(route, team);
+        const auto plain = fixture.ask(path);
         cr_assert_eq(plain->status(), unavailable);
-        const auto stream = bench.ask("/stream/1");
+        const auto stream = fixture.ask("/stream/1");
         cr_assert_eq(stream->status(), unavailable);
-        cr_assert(bench.upstream_.calls_.empty());
+        cr_assert(fixture.upstream_.calls_.empty());
     }
 }
 
 Test(request_regions, endpoint_of_a_zone_that_nobody_knows_gets_no_bound_request)
 {
-    RegionFixture bench({"north", "south"}, {});
-    bench.place("p-0", "zone-x");
-    cr_assert(bench.goesOnlyTo("p-1"));
+    RegionFixture fixture({"north", "south"}, {});
+    fixture.place("p-0", "zone-x");
+    cr_assert(fixture.goesOnlyTo("p-1"));
 }
--- a/tests/serving/servable.cpp
+++ b/tests/serving/servable.cpp
@@ -1,4 +1,4 @@
-// Which requests are rejected at once, since no group could serve them.
+// Tests which requests are rejected immediately because no group could serve them.
 #include "support/gateway_fixture.hpp"
 
 #include <cardamombay/serving/servable.hpp>
@@ -50,7 +50,7 @@
 Test(servable, time_below_that_of_an_idle_group_is_not_enough)
 {
     auto late = demand();
-    late.promptTokens_ = 50000; // A second of reading.
+    late.promptTokens_ = 50000; // One second of prefill.
     late.timeLeft_ = milliseconds(1000);
     cr_assert(unservableReason(engines(), late));
     late.timeLeft_ = milliseconds(1100);
@@ -64,29 +64,29 @@
 
 Test(servable, request_for_an_unknown_model_is_rejected_at_its_arrival)
 {
-    GatewayFixture bench;
-    bench.addGroup("g");
-    const auto caller = bench.ask("/stream/7", "other");
+    GatewayFixture fixture;
+    fixture.addGroup("g");
+    const auto caller = fixture.ask("/stream/7", "other");
     cr_assert_eq(caller->status(), 503);
-    cr_assert(bench.upstream_.calls_.empty());
+    cr_assert(fixture.upstream_.calls_.empty());
 }
 
 Test(servable, held_request_is_rejected_when_its_time_gets_too_short)
 {
-    GatewayFixture bench;
+    GatewayFixture fixture;
     auto configuration = gatewayConfiguration();
     configuration.version_ = ConfigVersion(4);
     for (auto &route : configuration.routes_)
         route.timeout_ = milliseconds(400);
-    // 500 tokens take 250 ms.
+    // Prefilling 500 tokens takes 250 ms.
     for (auto &service : configuration.services_) {
         if (service.engine_)
             service.engine_->readTokensPerSecond_ = 2000;
     }
-    bench.gateway_.setRoutes(std::make_shared<RouteTable>(configuration));
-    const auto caller = bench.ask("/stream/7");
-    bench.pass(milliseconds(80));
+    fixture.gateway_.setRoutes(std::make_shared<RouteTable>(configuration));
+    const auto caller = fixture.ask("/stream/7");
+    fixture.pass(milliseconds(80));
     cr_assert_not(caller->answer_);
-    bench.pass(milliseconds(80));
+    fixture.pass(milliseconds(80));
     cr_assert_eq(caller->status(), 503);
 }
