--- a/tests/endpoint_cooldowns/cooldown_simulation.cpp
+++ b/tests/endpoint_cooldowns/cooldown_simulation.cpp
@@ -1,4 +1,4 @@
-#include "cooldown_play.hpp"
+#include "cooldown_simulation.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -18,10 +18,10 @@
 constexpr Duration firstEventAfter = milliseconds(40);
 constexpr Duration betweenEvents = milliseconds(50);
 
-/// What is on its way to a group when it refuses is not counted.
-constexpr Duration underWay = milliseconds(500);
-/// Our own aim in place of that.
-constexpr Duration aim = milliseconds(100);
+/// Requests in flight when a group refuses are not counted.
+constexpr Duration inFlightAllowance = milliseconds(500);
+/// Stricter internal target.
+constexpr Duration reactionTime = milliseconds(100);
 
 std::size_t zonesOf(std::size_t entries)
 {
@@ -30,34 +30,34 @@
 
 } // namespace
 
-CooldownPlay::CooldownPlay(Scene scene, std::uint64_t seed)
-    : fleet_(scene.entries_, zonesOf(scene.entries_), scene.entries_ > 16 ? 2 : 0, seed)
-    , scene_(std::move(scene))
+CooldownSimulation::CooldownSimulation(Scenario scenario, std::uint64_t seed)
+    : fleet_(scenario.entries_, zonesOf(scenario.entries_), scenario.entries_ > 16 ? 2 : 0, seed)
+    , scenario_(std::move(scenario))
     , random_(seed)
-    , scanned_(scene_.entries_)
+    , scanned_(scenario_.entries_)
 {
-    fleet_.faults_.lossShare_ = scene_.lossShare_;
-    for (std::size_t i = 0; i < scene_.groups_; ++i) {
+    fleet_.faults_.lossShare_ = scenario_.lossShare_;
+    for (std::size_t i = 0; i < scenario_.groups_; ++i) {
         const auto head = "head-" + std::to_string(i);
         byHead_.emplace(head, i);
         groups_.push_back({.head_ = head});
         fleet_.listGroup(head);
     }
-    for (std::size_t i = 0; i < scene_.limits_.size(); ++i)
-        groups_.at(scene_.groups_ - 1 - i).limit_ = scene_.limits_[i];
+    for (std::size_t i = 0; i < scenario_.limits_.size(); ++i)
+        groups_.at(scenario_.groups_ - 1 - i).limit_ = scenario_.limits_[i];
     fleet_.configure(1, {"key"});
     fleet_.start();
     fleet_.pass(settling);
-    for (std::size_t i = 0; i < scene_.leaving_; ++i)
-        groups_.at(scene_.cooling_ + i).leavesAt_ = now() + seconds(2 + 3 * i);
+    for (std::size_t i = 0; i < scenario_.leaving_; ++i)
+        groups_.at(scenario_.refusingGroups_ + i).leavesAt_ = now() + seconds(2 + 3 * i);
 }
 
-void CooldownPlay::pass(Duration time)
+void CooldownSimulation::pass(Duration time)
 {
     for (const auto end = now() + time; now() < end;) {
         if (fault_)
             fault_();
-        beginNeeds();
+        startOutages();
         ask(step);
         fleet_.pass(step);
         takeCalls();
@@ -66,31 +66,31 @@
     }
 }
 
-/// Each of the groups in turn, so that their needs overlap.
-void CooldownPlay::beginNeeds()
+/// Starts outages at random times, so that those of different groups overlap.
+void CooldownSimulation::startOutages()
 {
-    for (std::size_t i = 0; i < scene_.cooling_; ++i) {
+    for (std::size_t i = 0; i < scenario_.refusingGroups_; ++i) {
         auto &group = groups_[i];
-        const bool isFirst = group.needFrom_ == TimePoint{};
-        if (!isFirst && now() < group.needUntil_ + scene_.cooldown_ + seconds(2))
+        const bool isFirst = group.outageFrom_ == TimePoint{};
+        if (!isFirst && now() < group.outageUntil_ + scenario_.cooldown_ + seconds(2))
             continue;
         const auto pause = milliseconds(500 + random_.below(2500));
-        group.needFrom_ = now() + pause;
-        group.needUntil_ = group.needFrom_ + scene_.need_;
+        group.outageFrom_ = now() + pause;
+        group.outageUntil_ = group.outageFrom_ + scenario_.outage_;
         group.isUsedAgain_ = false;
     }
 }
 
-void CooldownPlay::ask(Duration step)
+void CooldownSimulation::ask(Duration step)
 {
-    for (due_ += scene_.asked_ * toSeconds(step); due_ >= 1; due_ -= 1) {
-        const auto path = "/stream/" + std::to_string(seen_.asked_++);
+    for (due_ += scenario_.asked_ * toSeconds(step); due_ >= 1; due_ -= 1) {
+        const auto path = "/stream/" + std::to_string(results_.asked_++);
         auto &node = fleet_.node(random_.below(fleet_.size()));
         callers_.push_back(askAt(node.gateway_, path, "m", "key"));
     }
 }
 
-void CooldownPlay::takeCalls()
+void CooldownSimulation::takeCalls()
 {
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
         auto &calls = fleet_.node(i).upstream_.calls_;
@@ -103,40 +103,43 @@
     }
 }
 
-void CooldownPlay::arrived(Group &group, std::size_t entry, const std::shared_ptr<FakeCall> &call)
+void CooldownSimulation::arrived(Group &group, std::size_t entry,
+                                 const std::shared_ptr<FakeCall> &call)
 {
-    ++seen_.sends_;
-    note(group, entry);
-    const bool isMeant = scene_.refusesOnly_ == 0 || entry < scene_.refusesOnly_;
-    const bool isInNeed = isMeant && now() >= group.needFrom_ && now() < group.needUntil_;
-    if (!isInNeed) {
+    ++results_.sends_;
+    recordRequest(group, entry);
+    const bool isMeant = scenario_.refusesOnly_ == 0 || entry < scenario_.refusesOnly_;
+    const bool isInOutage = isMeant && now() >= group.outageFrom_ && now() < group.outageUntil_;
+    if (!isInOutage) {
         group.answers_.push_back({call, now() + firstEventAfter, 0});
         return;
     }
-    group.told_[entry].push_back({now(), now() + scene_.cooldown_, 0});
-    call->head(503, {{"refused", "1"}, {"cooldown", std::to_string(toSeconds(scene_.cooldown_))}});
+    group.refusals_[entry].push_back({now(), now() + scenario_.cooldown_, 0});
+    call->head(503,
+               {{"refused", "1"}, {"cooldown", std::to_string(toSeconds(scenario_.cooldown_))}});
 }
 
-/// Counts a request against all that the entry VM was told by the group.
-void CooldownPlay::note(Group &group, std::size_t entry)
+/// Counts a request against all refusals that the entry VM received from the group.
+void CooldownSimulation::recordRequest(Group &group, std::size_t entry)
 {
-    bool isInSpite = false;
-    for (auto &told : group.told_[entry]) {
-        if (now() >= told.until_)
+    bool isAfterGrace = false;
+    for (auto &refusal : group.refusals_[entry]) {
+        if (now() >= refusal.until_)
             continue;
-        const auto since = now() - told.at_;
-        if (since > underWay)
-            seen_.mostInCooldown_ = std::max(seen_.mostInCooldown_, ++told.count_);
-        isInSpite = isInSpite || since > aim;
-        seen_.latest_ = std::max(seen_.latest_, since);
+        const auto since = now() - refusal.at_;
+        if (since > inFlightAllowance)
+            results_.maxRequestsInCooldown_
+                = std::max(results_.maxRequestsInCooldown_, ++refusal.count_);
+        isAfterGrace = isAfterGrace || since > reactionTime;
+        results_.latestAfterRefusal_ = std::max(results_.latestAfterRefusal_, since);
     }
-    seen_.inSpite_ += isInSpite ? 1 : 0;
-    const auto said = group.saidLeaving_.find(entry);
-    if (said != group.saidLeaving_.end())
-        seen_.latestLeaving_ = std::max(seen_.latestLeaving_, now() - said->second);
+    results_.afterGrace_ += isAfterGrace ? 1 : 0;
+    const auto said = group.leavingSeenAt_.find(entry);
+    if (said != group.leavingSeenAt_.end())
+        results_.latestLeaving_ = std::max(results_.latestLeaving_, now() - said->second);
 }
 
-std::vector<net::HttpField> CooldownPlay::head(const Group &group) const
+std::vector<net::HttpField> CooldownSimulation::head(const Group &group) const
 {
     std::vector<net::HttpField> fields{{"seal", "s"}};
     if (group.limit_ >= 0)
@@ -146,10 +149,11 @@
     return fields;
 }
 
-/// Streams last for a while, so that some go on while their group refuses others.
-void CooldownPlay::answer(Group &group)
+/// Streams last for some time, so that some continue while their group refuses other requests.
+void CooldownSimulation::answer(Group &group)
 {
-    const auto events = static_cast<std::size_t>(scene_.streamSeconds_ / toSeconds(betweenEvents));
+    const auto events
+        = static_cast<std::size_t>(scenario_.streamSeconds_ / toSeconds(betweenEvents));
     for (auto &answer : group.answers_) {
         if (answer.at_ > now() || answer.call_->isDropped())
             continue;
@@ -159,11 +163,11 @@
                 for (std::size_t i = 0; i < fleet_.size(); ++i) {
                     const auto &calls = fleet_.node(i).upstream_.calls_;
                     if (std::find(calls.begin(), calls.end(), answer.call_) != calls.end())
-                        group.saidLeaving_.try_emplace(i, now());
+                        group.leavingSeenAt_.try_emplace(i, now());
                 }
             }
-            if (now() >= group.needUntil_ && !std::exchange(group.isUsedAgain_, true))
-                seen_.usedAgain_ = std::max(seen_.usedAgain_, now() - group.needUntil_);
+            if (now() >= group.outageUntil_ && !std::exchange(group.isUsedAgain_, true))
+                results_.usedAgain_ = std::max(results_.usedAgain_, now() - group.outageUntil_);
         }
         if (answer.call_->isDropped())
             continue;
@@ -175,30 +179,30 @@
     std::erase_if(group.answers_, [](const Answer &one) { return one.call_->isDropped(); });
 }
 
-Seen CooldownPlay::run()
+Results CooldownSimulation::run()
 {
-    pass(scene_.length_);
+    pass(scenario_.duration_);
     for (const auto &caller : callers_) {
         if (caller->isFinished_ || caller->streamHead_)
-            ++seen_.served_;
+            ++results_.served_;
         else if (caller->status() == 503)
-            ++seen_.refused_;
+            ++results_.refused_;
     }
-    return seen_;
+    return results_;
 }
 
-void print(const char *name, const Scene &scene, const Seen &seen)
+void print(const char *name, const Scenario &scenario, const Results &results)
 {
     std::printf(
         "%s, %zu entry VMs, cooldown %.1f s: most in one cooldown %zu, %zu later than 100 "
         "ms, the last after %.2f s; served %.4f, refused %.4f of %zu, %.3f sends each; used "
         "again after %.2f s; leaving: the last after %.2f s\n",
-        name, scene.entries_, toSeconds(scene.cooldown_), seen.mostInCooldown_, seen.inSpite_,
-        toSeconds(seen.latest_),
-        static_cast<double>(seen.served_) / static_cast<double>(seen.asked_),
-        static_cast<double>(seen.refused_) / static_cast<double>(seen.asked_), seen.asked_,
-        static_cast<double>(seen.sends_) / static_cast<double>(seen.asked_),
-        toSeconds(seen.usedAgain_), toSeconds(seen.latestLeaving_));
+        name, scenario.entries_, toSeconds(scenario.cooldown_), results.maxRequestsInCooldown_,
+        results.afterGrace_, toSeconds(results.latestAfterRefusal_),
+        static_cast<double>(results.served_) / static_cast<double>(results.asked_),
+        static_cast<double>(results.refused_) / static_cast<double>(results.asked_), results.asked_,
+        static_cast<double>(results.sends_) / static_cast<double>(results.asked_),
+        toSeconds(results.usedAgain_), toSeconds(results.latestLeaving_));
 }
 
 } // namespace cardamombay::endpoint_cooldowns
--- a/tests/endpoint_cooldowns/cooldown_simulation.hpp
+++ b/tests/endpoint_cooldowns/cooldown_simulation.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Whole entry VMs before groups that ask to be left alone, on the paused clock.
-/// \details Groups refuse everything for a while, each at its own times, and name in each refusal
-/// how long they want nothing from the entry VM that they refuse. Others may name limits or leave
-/// meanwhile.
+/// \brief Simulates entry VMs and groups that request cooldowns, on a simulated clock.
+/// \details Groups refuse all requests for some time, each at different times. Each refusal
+/// requests a cooldown for the entry VM that was refused. Other groups may announce rate limits or
+/// shut down in the meantime.
 #pragma once
 
 #include "support/node_fleet.hpp"
@@ -16,51 +16,56 @@
 
 namespace cardamombay::endpoint_cooldowns {
 
-/// \brief What is played.
-struct Scene
+/// \brief Parameters of a simulation.
+struct Scenario
 {
     std::size_t entries_ = 7;
     std::size_t groups_ = 12;
-    std::size_t cooling_ = 4;    ///< Groups that refuse at times.
-    Duration cooldown_{};        ///< That they name.
-    Duration need_{};            ///< For which they refuse everything.
-    double asked_ = 300;         ///< Requests a second, over all entry VMs.
-    double streamSeconds_ = 0.8; ///< For which an answer lasts.
-    double lossShare_ = 0.01;    ///< Of the datagrams between entry VMs.
-    Duration length_ = std::chrono::seconds(20);
-    std::vector<double> limits_{}; ///< Of the last groups, requests a second.
-    std::size_t refusesOnly_ = 0;  ///< So many entry VMs are refused; 0: all.
-    std::size_t leaving_ = 0;      ///< Groups that say at a moment that they leave.
+    std::size_t refusingGroups_ = 4; ///< Groups that temporarily refuse requests.
+    Duration cooldown_{};            ///< Cooldown requested in each refusal.
+    Duration outage_{};              ///< How long they refuse all requests.
+    double asked_ = 300;             ///< Requests per second to all entry VMs together.
+    double streamSeconds_ = 0.8;     ///< Duration of a response.
+    double lossShare_ = 0.01;        ///< Share of lost datagrams between entry VMs.
+    Duration duration_ = std::chrono::seconds(20);
+    std::vector<double> limits_{}; ///< Rate limits of the last groups, in requests per second.
+    std::size_t refusesOnly_ = 0;  ///< Number of entry VMs that are refused; 0 for all.
+    std::size_t leaving_ = 0;      ///< Groups that announce their shutdown during the run.
 };
 
-/// \brief What was seen.
-struct Seen
+/// \brief Results of a simulation.
+struct Results
 {
-    std::size_t mostInCooldown_ = 0; ///< Requests of one entry VM that the users' rule counts.
-    Duration latest_{};       ///< After a refusal, the last request that came in spite of it.
-    std::size_t inSpite_ = 0; ///< Requests later than a tenth of a second after a refusal.
+    /// Most requests of one entry VM within a cooldown, not counting those in flight.
+    std::size_t maxRequestsInCooldown_ = 0;
+    /// Latest request within a cooldown, measured from the refusal.
+    Duration latestAfterRefusal_{};
+    /// Requests within a cooldown, more than 100 ms after the refusal.
+    std::size_t afterGrace_ = 0;
     std::size_t asked_ = 0;
     std::size_t served_ = 0;
     std::size_t refused_ = 0;
     std::size_t sends_ = 0;
-    Duration latestLeaving_{}; ///< The same after an answer that said that a group leaves.
-    Duration usedAgain_{};     ///< From the end of the need to an answer of the group, at the most.
+    /// Latest request after a shutdown notice, measured from the notice.
+    Duration latestLeaving_{};
+    /// Longest time from the end of the refusals to the group's next answer.
+    Duration usedAgain_{};
 };
 
-/// \brief A fleet, its groups and its callers.
-class CooldownPlay
+/// \brief Simulates a fleet, its groups and its callers.
+class CooldownSimulation
 {
 public:
-    CooldownPlay(Scene scene, std::uint64_t seed);
+    CooldownSimulation(Scenario scenario, std::uint64_t seed);
 
-    /// \brief Callers come and groups answer for \p time.
+    /// \brief Runs callers and groups for \p time.
     void pass(Duration time);
 
-    /// \brief Plays the scene.
-    [[nodiscard]] Seen run();
+    /// \brief Runs the scenario.
+    [[nodiscard]] Results run();
 
     support::NodeFleet fleet_;
-    std::function<void()> fault_; ///< Called at each step.
+    std::function<void()> fault_; ///< Called at each step; injects faults.
 
 private:
     struct Answer
@@ -69,46 +74,46 @@
         TimePoint at_;
         std::size_t events_ = 0;
     };
-    /// What an entry VM was told by a group.
-    struct Told
+    /// A refusal received by an entry VM.
+    struct Refusal
     {
         TimePoint at_{};
         TimePoint until_{};
-        std::size_t count_ = 0; ///< Requests since, as the rule counts them.
+        std::size_t count_ = 0; ///< Requests since then, not counting those in flight.
     };
     struct Group
     {
         std::string head_;
         double limit_ = -1;
-        TimePoint needFrom_{};
-        TimePoint needUntil_{};
+        TimePoint outageFrom_{};
+        TimePoint outageUntil_{};
         TimePoint leavesAt_ = TimePoint::max();
         bool isUsedAgain_ = true;
         std::vector<Answer> answers_{};
-        std::map<std::size_t, std::vector<Told>> told_{}; ///< By entry VM.
-        std::map<std::size_t, TimePoint> saidLeaving_{};  ///< By entry VM.
+        std::map<std::size_t, std::vector<Refusal>> refusals_{}; ///< By entry VM.
+        std::map<std::size_t, TimePoint> leavingSeenAt_{};       ///< By entry VM.
     };
 
     [[nodiscard]] TimePoint now() const { return fleet_.clock_.now(); }
     void ask(Duration step);
     void takeCalls();
     void arrived(Group &group, std::size_t entry, const std::shared_ptr<support::FakeCall> &call);
-    void note(Group &group, std::size_t entry);
+    void recordRequest(Group &group, std::size_t entry);
     void answer(Group &group);
     [[nodiscard]] std::vector<net::HttpField> head(const Group &group) const;
-    void beginNeeds();
+    void startOutages();
 
-    Scene scene_;
+    Scenario scenario_;
     Random random_;
     std::vector<Group> groups_;
     std::map<std::string, std::size_t> byHead_;
     std::vector<std::size_t> scanned_;
     std::vector<std::shared_ptr<support::CallerView>> callers_;
     double due_ = 0;
-    Seen seen_;
+    Results results_;
 };
 
-/// \brief Prints what was seen.
-void print(const char *name, const Scene &scene, const Seen &seen);
+/// \brief Prints the results.
+void print(const char *name, const Scenario &scenario, const Results &results);
 
 } // namespace cardamombay::endpoint_cooldowns
--- a/tests/endpoint_cooldowns/notices.cpp
+++ b/tests/endpoint_cooldowns/notices.cpp
@@ -1,4 +1,4 @@
-// What is kept of the notices of endpoints, and what peers tell of them.
+// Tests how endpoint notices are stored and exchanged between peers.
 #include <cardamombay/core/manual_clock.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
 #include <cardamombay/serving/endpoint_notices.hpp>
@@ -15,7 +15,7 @@
 const EndpointIncarnation engine{VmId("e-1"), 7};
 const TimePoint start = TimePoint{} + std::chrono::hours(1);
 
-struct Bench
+struct Fixture
 {
     void refuse(std::optional<Duration> cooldown, TimePoint now)
     {
@@ -33,67 +33,67 @@
 
 Test(endpoint_notices, cooldown_ends_by_itself_and_is_told_for_a_while)
 {
-    Bench bench;
-    bench.refuse(seconds(3), start);
-    cr_assert_eq(bench.notices_.cooldown(engine, start)->until_, start + seconds(3));
-    cr_assert_eq(bench.notices_.updates(start + seconds(1)).at(0).left_, Duration(seconds(2)));
-    cr_assert(bench.notices_.updates(start + seconds(2)).empty());
-    cr_assert_not(bench.notices_.cooldown(engine, start + seconds(3)));
+    Fixture fixture;
+    fixture.refuse(seconds(3), start);
+    cr_assert_eq(fixture.notices_.cooldown(engine, start)->until_, start + seconds(3));
+    cr_assert_eq(fixture.notices_.updates(start + seconds(1)).at(0).left_, Duration(seconds(2)));
+    cr_assert(fixture.notices_.updates(start + seconds(2)).empty());
+    cr_assert_not(fixture.notices_.cooldown(engine, start + seconds(3)));
 }
 
 Test(endpoint_notices, longer_of_two_cooldowns_holds)
 {
-    Bench bench;
-    bench.refuse(seconds(30), start);
-    bench.refuse(seconds(1), start + seconds(1));
-    cr_assert(bench.notices_.cooldown(engine, start + seconds(29)));
-    bench.refuse(seconds(30), start + seconds(20));
-    cr_assert(bench.notices_.cooldown(engine, start + seconds(49)));
+    Fixture fixture;
+    fixture.refuse(seconds(30), start);
+    fixture.refuse(seconds(1), start + seconds(1));
+    cr_assert(fixture.notices_.cooldown(engine, start + seconds(29)));
+    fixture.refuse(seconds(30), start + seconds(20));
+    cr_assert(fixture.notices_.cooldown(engine, start + seconds(49)));
 }
 
 Test(endpoint_notices, unreadable_cooldown_changes_nothing_and_is_counted)
 {
-    Bench bench;
-    bench.refuse(seconds(3), start);
+    Fixture fixture;
+    fixture.refuse(seconds(3), start);
     AnswerNotices unreadable;
     unreadable.isCooldownUnreadable_ = true;
-    bench.notices_.take({engine, start, true}, unreadable, start + seconds(1));
-    cr_assert_eq(bench.notices_.cooldown(engine, start + seconds(1))->until_, start + seconds(3));
-    cr_assert_eq(bench.metrics_.unreadableCooldowns_.value(), 1);
+    fixture.notices_.take({engine, start, true}, unreadable, start + seconds(1));
+    cr_assert_eq(fixture.notices_.cooldown(engine, start + seconds(1))->until_, start + seconds(3));
+    cr_assert_eq(fixture.metrics_.unreadableCooldowns_.value(), 1);
 }
 
 Test(endpoint_notices, cooldown_of_zero_or_less_is_none)
 {
-    Bench bench;
-    bench.refuse(Duration::zero(), start);
-    bench.refuse(-seconds(1), start);
-    cr_assert_not(bench.notices_.cooldown(engine, start));
+    Fixture fixture;
+    fixture.refuse(Duration::zero(), start);
+    fixture.refuse(-seconds(1), start);
+    cr_assert_not(fixture.notices_.cooldown(engine, start));
 }
 
 Test(endpoint_notices, what_peers_tell_bars_nothing)
 {
-    Bench bench;
-    bench.notices_.take({{engine, seconds(3)}}, start);
-    cr_assert(bench.notices_.isDeprioritized(engine, start + seconds(2)));
-    cr_assert_not(bench.notices_.cooldown(engine, start + seconds(2)));
-    cr_assert(bench.notices_.updates(start).empty());
-    cr_assert_not(bench.notices_.isDeprioritized(engine, start + seconds(3)));
+    Fixture fixture;
+    fixture.notices_.take({{engine, seconds(3)}}, start);
+    cr_assert(fixture.notices_.isDeprioritized(engine, start + seconds(2)));
+    cr_assert_not(fixture.notices_.cooldown(engine, start + seconds(2)));
+    cr_assert(fixture.notices_.updates(start).empty());
+    cr_assert_not(fixture.notices_.isDeprioritized(engine, start + seconds(3)));
 }
 
 Test(endpoint_notices, memory_of_them_is_bounded)
 {
-    Bench bench;
+    Fixture fixture;
     for (std::uint64_t i = 0; i < 20000; ++i) {
         AnswerNotices notices;
         notices.cooldown_ = std::chrono::hours(2);
         notices.isLeaving_ = true;
-        bench.notices_.take({{VmId("e"), i}, start, true}, notices, start);
-        bench.notices_.take({{{VmId("p"), i}, seconds(3)}}, start);
+        fixture.notices_.take({{VmId("e"), i}, start, true}, notices, start);
+        fixture.notices_.take({{{VmId("p"), i}, seconds(3)}}, start);
     }
-    cr_assert_leq(bench.notices_.updates(start).size(), 24);
-    cr_assert_not(bench.notices_.isLeaving({VmId("e"), 19999}));
-    bench.notices_.expire(start + std::chrono::hours(1) + seconds(1));
-    cr_assert_eq(bench.metrics_.cooldownsInForce_.value(), 0);
+    cr_assert_leq(fixture.notices_.updates(start).size(), 24);
+    cr_assert_not(fixture.notices_.isLeaving({VmId("e"), 19999}));
+    fixture.notices_.expire(start + std::chrono::hours(1) + seconds(1));
+    cr_assert_eq(fixture.metrics_.cooldownsInForce_.value(), 0);
 }
 
 Test(endpoint_notices, digests_and_sums_tell_of_cooldowns_and_age_them)
--- a/tests/endpoint_cooldowns/orders.cpp
+++ b/tests/endpoint_cooldowns/orders.cpp
@@ -1,4 +1,4 @@
-// Orders and questions to engines that ask for a pause.
+// Tests control requests to engines that are in a cooldown.
 #include <cardamombay/core/manual_clock.hpp>
 #include <cardamombay/serving/gated_orders.hpp>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Counts what is sent; answers name what notices_ holds.
+/// Counts sent requests; answers carry notices_.
 class FakeOrders final : public ReplicaOrders
 {
 public:
@@ -33,9 +33,9 @@
     AnswerNotices notices_;
 };
 
-struct Bench
+struct Fixture
 {
-    Bench() { engine_.id_ = VmId("e-1"); }
+    Fixture() { engine_.id_ = VmId("e-1"); }
 
     void coolDown(Duration time)
     {
@@ -74,39 +74,39 @@
 
 Test(gated_orders, engine_in_a_cooldown_gets_neither_orders_nor_questions)
 {
-    Bench bench;
-    bench.coolDown(seconds(3));
-    cr_assert_eq(valueOf(bench.order()), OrderAnswer::Withheld);
-    cr_assert(isError<EndpointCoolingDown>(bench.ask()));
-    cr_assert_eq(bench.orders_.sent_, 0);
-    bench.clock_.advance(seconds(3));
-    cr_assert_eq(valueOf(bench.order()), OrderAnswer::Begun);
-    cr_assert(isOk(bench.ask()));
+    Fixture fixture;
+    fixture.coolDown(seconds(3));
+    cr_assert_eq(valueOf(fixture.order()), OrderAnswer::Withheld);
+    cr_assert(isError<EndpointCoolingDown>(fixture.ask()));
+    cr_assert_eq(fixture.orders_.sent_, 0);
+    fixture.clock_.advance(seconds(3));
+    cr_assert_eq(valueOf(fixture.order()), OrderAnswer::Begun);
+    cr_assert(isOk(fixture.ask()));
 }
 
 Test(gated_orders, cooldown_that_an_order_is_answered_with_holds_for_all_sends)
 {
-    Bench bench;
-    bench.orders_.notices_.cooldown_ = seconds(3);
-    (void)bench.order();
-    cr_assert(bench.notices_.cooldown(bench.engine_.incarnation(), bench.clock_.now()));
-    cr_assert_eq(valueOf(bench.order()), OrderAnswer::Withheld);
-    cr_assert_eq(bench.orders_.sent_, 1);
+    Fixture fixture;
+    fixture.orders_.notices_.cooldown_ = seconds(3);
+    (void)fixture.order();
+    cr_assert(fixture.notices_.cooldown(fixture.engine_.incarnation(), fixture.clock_.now()));
+    cr_assert_eq(valueOf(fixture.order()), OrderAnswer::Withheld);
+    cr_assert_eq(fixture.orders_.sent_, 1);
 }
 
 Test(gated_orders, engine_that_leaves_still_takes_orders)
 {
-    Bench bench;
-    bench.orders_.notices_.isLeaving_ = true;
-    (void)bench.order();
-    cr_assert(bench.notices_.isLeaving(bench.engine_.incarnation()));
-    cr_assert_eq(valueOf(bench.order()), OrderAnswer::Begun);
+    Fixture fixture;
+    fixture.orders_.notices_.isLeaving_ = true;
+    (void)fixture.order();
+    cr_assert(fixture.notices_.isLeaving(fixture.engine_.incarnation()));
+    cr_assert_eq(valueOf(fixture.order()), OrderAnswer::Begun);
 }
 
 Test(gated_orders, later_life_of_an_engine_takes_orders_in_the_cooldown_of_an_earlier_one)
 {
-    Bench bench;
-    bench.coolDown(seconds(30));
-    bench.engine_.startedAt_ = 2;
-    cr_assert_eq(valueOf(bench.order()), OrderAnswer::Begun);
+    Fixture fixture;
+    fixture.coolDown(seconds(30));
+    fixture.engine_.startedAt_ = 2;
+    cr_assert_eq(valueOf(fixture.order()), OrderAnswer::Begun);
 }
--- a/tests/endpoint_cooldowns/regressions.cpp
+++ b/tests/endpoint_cooldowns/regressions.cpp
@@ -1,5 +1,6 @@
-// Endpoints that ask an entry VM for a pause, or say that they leave, get nothing more from it.
-#include "cooldown_play.hpp"
+// Tests that an entry VM sends nothing more to endpoints that request a cooldown or announce their
+// shutdown.
+#include "cooldown_simulation.hpp"
 
 #include <criterion/criterion.h>
 
@@ -10,14 +11,14 @@
 
 namespace {
 
-void check(const char *name, const Scene &scene, std::uint64_t seed)
+void check(const char *name, const Scenario &scenario, std::uint64_t seed)
 {
-    CooldownPlay play(scene, seed);
-    const auto seen = play.run();
-    print(name, scene, seen);
-    cr_expect_leq(seen.mostInCooldown_, 2U);
-    cr_expect_eq(seen.inSpite_, 0U);
-    cr_expect_leq(seen.latestLeaving_, milliseconds(100));
+    CooldownSimulation simulation(scenario, seed);
+    const auto results = simulation.run();
+    print(name, scenario, results);
+    cr_expect_leq(results.maxRequestsInCooldown_, 2U);
+    cr_expect_eq(results.afterGrace_, 0U);
+    cr_expect_leq(results.latestLeaving_, milliseconds(100));
 }
 
 } // namespace
@@ -26,7 +27,7 @@
 {
     for (const auto cooldown : {milliseconds(600), milliseconds(3000), milliseconds(30000)})
         check("even callers",
-              {.entries_ = 7, .cooldown_ = cooldown, .need_ = seconds(6), .asked_ = 150}, 1);
+              {.entries_ = 7, .cooldown_ = cooldown, .outage_ = seconds(6), .asked_ = 150}, 1);
 }
 
 Test(endpoint_cooldowns, seventy_four_entry_vms_leave_groups_alone_that_ask_for_it)
@@ -35,7 +36,7 @@
           {.entries_ = 74,
            .groups_ = 40,
            .cooldown_ = seconds(3),
-           .need_ = seconds(6),
+           .outage_ = seconds(6),
            .asked_ = 500},
           2);
 }
@@ -45,52 +46,53 @@
     check("limits and leavings",
           {.entries_ = 7,
            .cooldown_ = seconds(3),
-           .need_ = seconds(5),
+           .outage_ = seconds(5),
            .asked_ = 150,
            .limits_ = {3, 20},
            .leaving_ = 3},
           3);
 }
 
-/// Callers are hardly refused while a third of the groups turns entry VMs away, one or all.
+/// At least 99% of requests are served while a third of the groups refuse one or all entry VMs.
 Test(endpoint_cooldowns, callers_are_served_by_other_groups_meanwhile)
 {
     for (const std::size_t refused : {0, 1}) {
-        const Scene scene{.entries_ = 74,
-                          .groups_ = 40,
-                          .cooling_ = 13,
-                          .cooldown_ = seconds(3),
-                          .need_ = seconds(15),
-                          .asked_ = 200,
-                          .refusesOnly_ = refused};
-        CooldownPlay play(scene, 4);
-        const auto seen = play.run();
-        print(refused == 0 ? "all are turned away" : "one is turned away", scene, seen);
-        cr_expect_geq(static_cast<double>(seen.served_), 0.99 * static_cast<double>(seen.asked_));
-        cr_expect_eq(seen.inSpite_, 0U);
+        const Scenario scenario{.entries_ = 74,
+                                .groups_ = 40,
+                                .refusingGroups_ = 13,
+                                .cooldown_ = seconds(3),
+                                .outage_ = seconds(15),
+                                .asked_ = 200,
+                                .refusesOnly_ = refused};
+        CooldownSimulation simulation(scenario, 4);
+        const auto results = simulation.run();
+        print(refused == 0 ? "all are turned away" : "one is turned away", scenario, results);
+        cr_expect_geq(static_cast<double>(results.served_),
+                      0.99 * static_cast<double>(results.asked_));
+        cr_expect_eq(results.afterGrace_, 0U);
     }
 }
 
 Test(endpoint_cooldowns, cooldowns_hold_while_datagrams_are_lost_and_entry_vms_are_paused)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        const Scene scene{.entries_ = 7,
-                          .cooldown_ = seconds(3),
-                          .need_ = seconds(5),
-                          .asked_ = 100,
-                          .lossShare_ = 0.3,
-                          .length_ = seconds(12),
-                          .limits_ = {3},
-                          .leaving_ = 2};
-        CooldownPlay play(scene, seed);
+        const Scenario scenario{.entries_ = 7,
+                                .cooldown_ = seconds(3),
+                                .outage_ = seconds(5),
+                                .asked_ = 100,
+                                .lossShare_ = 0.3,
+                                .duration_ = seconds(12),
+                                .limits_ = {3},
+                                .leaving_ = 2};
+        CooldownSimulation simulation(scenario, seed);
         Random random(seed);
-        play.fault_ = [&] {
+        simulation.fault_ = [&] {
             if (random.below(100) == 0)
-                play.fleet_.node(random.below(7)).clock_.setPaused(random.below(2) == 0);
+                simulation.fleet_.node(random.below(7)).clock_.setPaused(random.below(2) == 0);
         };
-        const auto seen = play.run();
-        print("faults", scene, seen);
-        cr_expect_eq(seen.inSpite_, 0U, "seed %lu", seed);
-        cr_expect_leq(seen.latestLeaving_, milliseconds(100), "seed %lu", seed);
+        const auto results = simulation.run();
+        print("faults", scenario, results);
+        cr_expect_eq(results.afterGrace_, 0U, "seed %lu", seed);
+        cr_expect_leq(results.latestLeaving_, milliseconds(100), "seed %lu", seed);
     }
 }
--- a/tests/endpoint_limits/cold_endpoints.cpp
+++ b/tests/endpoint_limits/cold_endpoints.cpp
@@ -1,5 +1,5 @@
-// Endpoints that are cold: they get no more than they take from all entry VMs together.
-#include "limit_play.hpp"
+// Tests that all entry VMs together send no more to cold endpoints than these accept.
+#include "limit_simulation.hpp"
 
 #include "support/gateway_fixture.hpp"
 
@@ -15,32 +15,33 @@
 
 namespace {
 
-/// The users' bound on the requests of one second, as a share of what a cold endpoint takes.
-constexpr double mostShare = 1.5;
-constexpr double leastUsed = 0.8;
+/// Required bound on the requests in one second, as a share of the cold rate.
+constexpr double maxShare = 1.5;
+constexpr double minUsed = 0.8;
 
-/// Longer than the groups are looked at.
+/// Longer than the measurement.
 constexpr Duration longCold = seconds(60);
 
-Scene coldScene(std::size_t entries)
+Scenario coldScene(std::size_t entries)
 {
     constexpr auto rate = support::FleetFormat::coldRate;
     return {.entries_ = entries, .limits_ = {rate, rate, rate}, .coldFor_ = longCold};
 }
 
-void check(const Scene &scene, std::uint64_t seed, double least)
+void check(const Scenario &scenario, std::uint64_t seed, double least)
 {
-    LimitPlay play(scene, seed);
-    for (const auto &got : play.run()) {
+    LimitSimulation simulation(scenario, seed);
+    for (const auto &groupResult : simulation.run()) {
         std::printf("cold, %zu entry VMs, %.2f of the datagrams lost: most in a second %.2f of the "
                     "rate, used %.2f\n",
-                    scene.entries_, scene.lossShare_, got.mostInSecond_, got.used_);
-        cr_expect_leq(got.mostInSecond_, mostShare);
-        cr_expect_geq(got.used_, least);
+                    scenario.entries_, scenario.lossShare_, groupResult.maxInSecond_,
+                    groupResult.used_);
+        cr_expect_leq(groupResult.maxInSecond_, maxShare);
+        cr_expect_geq(groupResult.used_, least);
     }
 }
 
-/// A gateway whose engines take two requests a second while they are cold.
+/// A gateway whose engines accept two requests per second while cold.
 class ColdFixture : public support::GatewayFixture
 {
 public:
@@ -72,79 +73,79 @@
 
 Test(cold_endpoints, seven_entry_vms_together_send_no_more_than_cold_endpoints_take)
 {
-    check(coldScene(7), 1, leastUsed);
+    check(coldScene(7), 1, minUsed);
 }
 
 Test(cold_endpoints, seventy_four_entry_vms_together_send_no_more_than_cold_endpoints_take)
 {
-    check(coldScene(74), 2, leastUsed);
+    check(coldScene(74), 2, minUsed);
 }
 
 Test(cold_endpoints, a_fleet_of_195_sends_no_more_than_cold_endpoints_take)
 {
-    check(coldScene(195), 3, leastUsed);
+    check(coldScene(195), 3, minUsed);
 }
 
 Test(cold_endpoints, cold_endpoints_are_not_overrun_if_a_third_of_the_datagrams_is_lost)
 {
-    auto scene = coldScene(74);
-    scene.lossShare_ = 0.3;
-    check(scene, 4, 0);
+    auto scenario = coldScene(74);
+    scenario.lossShare_ = 0.3;
+    check(scenario, 4, 0);
 }
 
 Test(cold_endpoints, cold_endpoints_are_not_overrun_after_all_entry_vms_have_started_at_once)
 {
-    auto scene = coldScene(74);
-    scene.isRestarted_ = true;
-    scene.length_ = seconds(10);
-    check(scene, 5, 0);
+    auto scenario = coldScene(74);
+    scenario.isRestarted_ = true;
+    scenario.duration_ = seconds(10);
+    check(scenario, 5, 0);
 }
 
 Test(cold_endpoints, endpoint_is_cold_for_as_long_as_its_entry_says)
 {
-    ColdFixture bench;
-    cr_assert_not(bench.rate());
-    bench.listCold(seconds(2));
-    cr_assert_eq(*bench.rate(), 2);
-    bench.pass(milliseconds(2100));
-    cr_assert_not(bench.rate());
+    ColdFixture fixture;
+    cr_assert_not(fixture.rate());
+    fixture.listCold(seconds(2));
+    cr_assert_eq(*fixture.rate(), 2);
+    fixture.pass(milliseconds(2100));
+    cr_assert_not(fixture.rate());
 }
 
 Test(cold_endpoints, entry_that_names_no_cold_time_does_not_end_one_that_was_assumed)
 {
-    ColdFixture bench;
-    bench.cold().assumeCold(*bench.endpointRegistry_.find(VmId("head")), "test");
-    bench.listCold(Duration::zero());
-    cr_assert(bench.rate());
-    bench.pass(milliseconds(3100));
-    cr_assert_not(bench.rate());
+    ColdFixture fixture;
+    fixture.cold().assumeCold(*fixture.endpointRegistry_.find(VmId("head")), "test");
+    fixture.listCold(Duration::zero());
+    cr_assert(fixture.rate());
+    fixture.pass(milliseconds(3100));
+    cr_assert_not(fixture.rate());
 }
 
 Test(cold_endpoints, absurd_cold_time_is_bounded)
 {
-    ColdFixture bench;
-    bench.listCold(std::chrono::hours(24 * 365));
-    cr_assert(bench.rate());
-    bench.clock_.advance(std::chrono::minutes(11));
-    cr_assert_not(bench.rate());
+    ColdFixture fixture;
+    fixture.listCold(std::chrono::hours(24 * 365));
+    cr_assert(fixture.rate());
+    fixture.clock_.advance(std::chrono::minutes(11));
+    cr_assert_not(fixture.rate());
 }
 
 Test(cold_endpoints, later_start_under_the_same_id_is_not_cold_by_the_word_of_the_earlier_one)
 {
-    ColdFixture bench;
-    bench.listCold(seconds(10));
-    auto again = *bench.endpointRegistry_.find(VmId("head"));
+    ColdFixture fixture;
+    fixture.listCold(seconds(10));
+    auto again = *fixture.endpointRegistry_.find(VmId("head"));
     again.startedAt_ = 7;
-    cr_assert_not(bench.cold().perSecond(again.incarnation()));
+    cr_assert_not(fixture.cold().perSecond(again.incarnation()));
 }
 
 Test(cold_endpoints, warm_group_gets_the_requests_while_another_one_is_cold)
 {
-    ColdFixture bench;
-    bench.listCold(seconds(3));
-    bench.addGroup("warm");
+    ColdFixture fixture;
+    fixture.listCold(seconds(3));
+    fixture.addGroup("warm");
     for (int i = 0; i < 8; ++i) {
-        (void)bench.ask("/stream/" + std::to_string(i));
-        cr_assert_eq(bench.lastCall()->field("endpoint"), "warm");
+        (void)fixture.ask("/stream/" + std::to_string(i));
+        cr_assert_eq(fixture.lastCall()->field("endpoint"), "warm");
     }
 }
--- a/tests/endpoint_limits/limit_simulation.cpp
+++ b/tests/endpoint_limits/limit_simulation.cpp
@@ -1,4 +1,4 @@
-#include "limit_play.hpp"
+#include "limit_simulation.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -17,22 +17,22 @@
 constexpr Duration step = milliseconds(10);
 constexpr Duration answerTime = milliseconds(40);
 
-/// All entry VMs know a limit that long after it was named first.
-constexpr Duration knownAfter = seconds(3);
+/// Time after which all entry VMs must know a newly announced limit.
+constexpr Duration propagationTime = seconds(3);
 
-constexpr Duration aimWindow = seconds(10);
-constexpr double aimShare = 1.1;
-constexpr double aimReserve = 2;
-constexpr Duration ruleWindow = seconds(4);
-constexpr double ruleShare = 1.5;
-constexpr double ruleReserve = 5;
+constexpr Duration targetWindow = seconds(10);
+constexpr double targetShare = 1.1;
+constexpr double targetAllowance = 2;
+constexpr Duration boundWindow = seconds(4);
+constexpr double boundShare = 1.5;
+constexpr double boundAllowance = 5;
 
 std::size_t zonesOf(std::size_t entries)
 {
     return entries > 100 ? 5 : 3;
 }
 
-std::size_t mostWithin(const std::vector<TimePoint> &sends, Duration window)
+std::size_t maxWithin(const std::vector<TimePoint> &sends, Duration window)
 {
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < sends.size(); ++last) {
@@ -47,33 +47,33 @@
                  double reserve)
 {
     const auto allowed = share * limit * toSeconds(window) + reserve;
-    return static_cast<double>(mostWithin(sends, window)) / allowed;
+    return static_cast<double>(maxWithin(sends, window)) / allowed;
 }
 
 } // namespace
 
-LimitPlay::LimitPlay(Scene scene, std::uint64_t seed)
-    : fleet_(scene.entries_, zonesOf(scene.entries_), scene.entries_ > 16 ? 2 : 0, seed)
-    , scene_(std::move(scene))
+LimitSimulation::LimitSimulation(Scenario scenario, std::uint64_t seed)
+    : fleet_(scenario.entries_, zonesOf(scenario.entries_), scenario.entries_ > 16 ? 2 : 0, seed)
+    , scenario_(std::move(scenario))
     , random_(seed)
-    , scanned_(scene_.entries_)
+    , scanned_(scenario_.entries_)
 {
-    fleet_.faults_.lossShare_ = scene_.lossShare_;
-    for (const auto limit : scene_.limits_) {
+    fleet_.faults_.lossShare_ = scenario_.lossShare_;
+    for (const auto limit : scenario_.limits_) {
         const auto head = "head-" + std::to_string(groups_.size());
         byHead_.emplace(head, groups_.size());
         groups_.push_back({head, limit, {}, {}});
-        fleet_.listGroup(head, "d", scene_.coldFor_);
+        fleet_.listGroup(head, "d", scenario_.coldFor_);
     }
     fleet_.configure(1, {"key"});
     fleet_.start();
-    if (!scene_.isRestarted_)
+    if (!scenario_.isRestarted_)
         fleet_.pass(settling);
     startedAt_ = now();
     since_ = now();
 }
 
-void LimitPlay::pass(Duration time)
+void LimitSimulation::pass(Duration time)
 {
     for (const auto end = now() + time; now() < end;) {
         if (fault_)
@@ -86,18 +86,19 @@
     }
 }
 
-void LimitPlay::setLimit(std::size_t group, double perSecond)
+void LimitSimulation::setLimit(std::size_t group, double perSecond)
 {
     groups_.at(group).limit_ = perSecond;
 }
 
-void LimitPlay::ask(Duration step)
+void LimitSimulation::ask(Duration step)
 {
     double rate = 0;
     for (const auto &group : groups_)
-        rate += std::max(0.0, group.limit_) * scene_.asked_;
-    const auto reached = std::max<std::size_t>(
-        1, static_cast<std::size_t>(static_cast<double>(fleet_.size()) * scene_.callersAtShare_));
+        rate += std::max(0.0, group.limit_) * scenario_.asked_;
+    const auto reached
+        = std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(fleet_.size())
+                                                            * scenario_.reachedEntriesShare_));
     for (due_ += rate * toSeconds(step); due_ >= 1; due_ -= 1) {
         const auto path = "/stream/" + std::to_string(asked_++);
         auto &node = fleet_.node(random_.below(reached));
@@ -105,7 +106,7 @@
     }
 }
 
-void LimitPlay::takeCalls()
+void LimitSimulation::takeCalls()
 {
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
         auto &calls = fleet_.node(i).upstream_.calls_;
@@ -120,7 +121,7 @@
     }
 }
 
-void LimitPlay::answer(Group &group)
+void LimitSimulation::answer(Group &group)
 {
     while (!group.answers_.empty() && group.answers_.front().at_ <= now()) {
         const auto call = group.answers_.front().call_;
@@ -128,7 +129,7 @@
         if (call->isDropped())
             continue;
         std::vector<net::HttpField> fields{{"seal", "s"}};
-        if (group.limit_ >= 0 && scene_.coldFor_ == Duration::zero())
+        if (group.limit_ >= 0 && scenario_.coldFor_ == Duration::zero())
             fields.push_back({"limit", std::to_string(group.limit_)});
         call->head(200, std::move(fields));
         call->data("id: 1\ndata: x\n\n");
@@ -136,41 +137,42 @@
     }
 }
 
-Got LimitPlay::got(const Group &group) const
+GroupResult LimitSimulation::groupResult(const Group &group) const
 {
-    Got result;
+    GroupResult result;
     result.limit_ = group.limit_;
-    result.mostOverAim_ = overShare(group.sends_, aimWindow, group.limit_, aimShare, aimReserve);
-    result.mostInSecond_ = overShare(group.sends_, seconds(1), group.limit_, 1, 0);
-    result.mostOverRule_
-        = overShare(group.sends_, ruleWindow, group.limit_, ruleShare, ruleReserve);
+    result.maxOverTarget_
+        = overShare(group.sends_, targetWindow, group.limit_, targetShare, targetAllowance);
+    result.maxInSecond_ = overShare(group.sends_, seconds(1), group.limit_, 1, 0);
+    result.maxOverBound_
+        = overShare(group.sends_, boundWindow, group.limit_, boundShare, boundAllowance);
     const auto allowed = group.limit_ * toSeconds(now() - since_);
     result.used_ = static_cast<double>(group.sends_.size()) / std::max(1.0, allowed);
     return result;
 }
 
-std::vector<Got> LimitPlay::take()
+std::vector<GroupResult> LimitSimulation::takeResults()
 {
-    std::vector<Got> result;
+    std::vector<GroupResult> result;
     for (auto &group : groups_) {
-        result.push_back(got(group));
+        result.push_back(groupResult(group));
         group.sends_.clear();
     }
     since_ = now();
     return result;
 }
 
-std::vector<Got> LimitPlay::run()
+std::vector<GroupResult> LimitSimulation::run()
 {
-    if (!scene_.isRestarted_) {
-        pass(knownAfter);
-        (void)take();
+    if (!scenario_.isRestarted_) {
+        pass(propagationTime);
+        (void)takeResults();
     }
-    pass(scene_.length_);
-    return take();
+    pass(scenario_.duration_);
+    return takeResults();
 }
 
-std::size_t LimitPlay::owner(std::size_t group)
+std::size_t LimitSimulation::owner(std::size_t group)
 {
     const EndpointIncarnation head{VmId(groups_.at(group).head_), 0};
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
@@ -180,7 +182,7 @@
     return fleet_.size();
 }
 
-double LimitPlay::reservations()
+double LimitSimulation::reservations()
 {
     double result = 0;
     for (std::size_t i = 0; i < fleet_.size(); ++i)
@@ -188,7 +190,7 @@
     return result;
 }
 
-std::size_t LimitPlay::waiting() const
+std::size_t LimitSimulation::waiting() const
 {
     return static_cast<std::size_t>(
         std::count_if(callers_.begin(), callers_.end(), [](const auto &caller) {
@@ -196,13 +198,13 @@
         }));
 }
 
-void print(const char *name, const Scene &scene, const std::vector<Got> &all)
+void print(const char *name, const Scenario &scenario, const std::vector<GroupResult> &all)
 {
-    for (const auto &got : all)
+    for (const auto &groupResult : all)
         std::printf("%s, %zu entry VMs, limit %g a second: most in 10 s %.2f of the aim, in 4 s "
                     "%.2f of what is allowed, used %.2f\n",
-                    name, scene.entries_, got.limit_, got.mostOverAim_, got.mostOverRule_,
-                    got.used_);
+                    name, scenario.entries_, groupResult.limit_, groupResult.maxOverTarget_,
+                    groupResult.maxOverBound_, groupResult.used_);
 }
 
 } // namespace cardamombay::endpoint_limits
--- a/tests/endpoint_limits/limit_simulation.hpp
+++ b/tests/endpoint_limits/limit_simulation.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Whole entry VMs before groups that limit the rate of requests, on the paused clock.
-/// \details Each group names its limit in the head of every answer. Callers ask for more than all
-/// groups together take, so that what a group gets shows both how well its limit is kept and how
-/// much of it is used.
+/// \brief Simulates entry VMs and rate-limited groups on a simulated clock.
+/// \details Each group announces its limit in the head of every response. Callers send more
+/// requests than all groups accept together, so that the requests of a group show both whether its
+/// limit is kept and how much of it is used.
 #pragma once
 
 #include "support/node_fleet.hpp"
@@ -16,62 +16,62 @@
 
 namespace cardamombay::endpoint_limits {
 
-/// \brief What is played.
-struct Scene
+/// \brief Parameters of a simulation.
+struct Scenario
 {
     std::size_t entries_ = 7;
-    std::vector<double> limits_; ///< Of each group, requests a second.
-    Duration coldFor_{};         ///< Groups are cold from the start and name no limit.
-    bool isRestarted_ = false;   ///< Callers come as soon as the entry VMs have started.
-    double asked_ = 1.5;         ///< Callers' requests for each one that the groups take.
-    double callersAtShare_ = 1;  ///< Share of the entry VMs that callers come to.
-    double lossShare_ = 0.01;    ///< Of the datagrams between entry VMs.
-    Duration length_ = std::chrono::seconds(20); ///< Of the time that is looked at.
+    std::vector<double> limits_; ///< Rate limit of each group, in requests per second.
+    Duration coldFor_{};         ///< If set, groups are cold from the start and announce no limit.
+    bool isRestarted_ = false;   ///< Callers start together with the entry VMs.
+    double asked_ = 1.5;         ///< Caller requests per request that the groups accept.
+    double reachedEntriesShare_ = 1; ///< Share of the entry VMs that receive caller requests.
+    double lossShare_ = 0.01;        ///< Share of lost datagrams between entry VMs.
+    Duration duration_ = std::chrono::seconds(20); ///< Duration of the measurement.
 };
 
-/// \brief What one group got.
-struct Got
+/// \brief Requests received by one group.
+struct GroupResult
 {
     double limit_ = 0;
-    double mostOverAim_ = 0;  ///< Most requests in ten seconds, as a share of the aim.
-    double mostInSecond_ = 0; ///< Most requests in a second, as a share of the limit.
-    double mostOverRule_ = 0; ///< Most requests in four seconds, as a share of what is allowed.
-    double used_ = 0;         ///< Requests, as a share of what the limit allows in the whole time.
+    double maxOverTarget_ = 0; ///< Most requests in 10 s, as a share of the internal target.
+    double maxInSecond_ = 0;   ///< Most requests in 1 s, as a share of the limit.
+    double maxOverBound_ = 0;  ///< Most requests in 4 s, as a share of the required bound.
+    double used_ = 0; ///< Requests as a share of what the limit allows over the whole time.
 };
 
-/// \brief A fleet, its groups and its callers.
-class LimitPlay
+/// \brief Simulates a fleet, its groups and its callers.
+class LimitSimulation
 {
 public:
-    LimitPlay(Scene scene, std::uint64_t seed);
+    LimitSimulation(Scenario scenario, std::uint64_t seed);
 
-    /// \brief Callers come and groups answer for \p time.
+    /// \brief Runs callers and groups for \p time.
     void pass(Duration time);
 
-    /// \brief From now on a group names another limit; a negative one stands for none.
+    /// \brief Changes the limit that a group announces; a negative value means none.
     void setLimit(std::size_t group, double perSecond);
 
-    /// \brief What groups got since the last call, or since they had named their limits for the
-    /// time in which all entry VMs must know.
-    [[nodiscard]] std::vector<Got> take();
+    /// \brief Returns the results since the last call and starts a new measurement.
+    [[nodiscard]] std::vector<GroupResult> takeResults();
 
-    /// \brief Plays the scene from the first answers on.
-    [[nodiscard]] std::vector<Got> run();
+    /// \brief Runs the scenario; measures after all entry VMs must know the limits, or from the
+    /// start after a restart.
+    [[nodiscard]] std::vector<GroupResult> run();
 
-    /// \brief Callers that have no answer and no refusal yet.
+    /// \brief Number of callers without an answer or a refusal.
     [[nodiscard]] std::size_t waiting() const;
 
-    /// \brief How long callers have come.
+    /// \brief Time since callers started.
     [[nodiscard]] Duration time() const { return now() - startedAt_; }
 
-    /// \brief Sends that entry VMs have asked owners for.
+    /// \brief Number of reservations requested by all entry VMs.
     [[nodiscard]] double reservations();
 
-    /// \brief An entry VM that owns a group's limit in its own eyes.
+    /// \brief Index of an entry VM that considers itself the owner of a group.
     [[nodiscard]] std::size_t owner(std::size_t group);
 
     support::NodeFleet fleet_;
-    std::function<void()> fault_; ///< Called at each step.
+    std::function<void()> fault_; ///< Called at each step; injects faults.
 
 private:
     struct Answer
@@ -91,9 +91,9 @@
     void ask(Duration step);
     void takeCalls();
     void answer(Group &group);
-    [[nodiscard]] Got got(const Group &group) const;
+    [[nodiscard]] GroupResult groupResult(const Group &group) const;
 
-    Scene scene_;
+    Scenario scenario_;
     Random random_;
     std::vector<Group> groups_;
     std::map<std::string, std::size_t> byHead_;
@@ -105,7 +105,7 @@
     std::size_t asked_ = 0;
 };
 
-/// \brief Prints what groups got.
-void print(const char *name, const Scene &scene, const std::vector<Got> &all);
+/// \brief Prints the results of all groups.
+void print(const char *name, const Scenario &scenario, const std::vector<GroupResult> &all);
 
 } // namespace cardamombay::endpoint_limits
--- a/tests/evacuations/regressions.cpp
+++ b/tests/evacuations/regressions.cpp
@@ -1,4 +1,4 @@
-// Availability zones that operators empty: known to all entry VMs in time, and obeyed.
+// Tests that all entry VMs learn of evacuated availability zones in time and send nothing there.
 #include "support/node_fleet.hpp"
 
 #include <cardamombay/core/hash.hpp>
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// The users' bound on the time after which nothing may reach the zone.
+/// Required time after which no request may reach the zone.
 constexpr Duration evacuateWithin = seconds(5);
 constexpr Duration settling = seconds(4);
 constexpr Duration step = milliseconds(20);
-constexpr double lostThird = 0.33;
-const AvailabilityZone emptied("a");
+constexpr double heavyLoss = 0.33;
+const AvailabilityZone evacuatedZone("a");
 
-/// Entry VMs before one group in each of three zones.
+/// Entry VMs and one group in each of three zones.
 class Fleet
 {
 public:
@@ -49,7 +49,7 @@
         return result;
     }
 
-    /// \returns the time until all entry VMs know.
+    /// \returns the time until all entry VMs know the change.
     Duration untilKnown(bool isEvacuated)
     {
         const auto since = nodes_.clock_.now();
@@ -81,57 +81,57 @@
 
 Test(evacuations, seven_entry_vms_know_in_half_of_the_bound)
 {
-    check(7, lostThird, 1);
+    check(7, heavyLoss, 1);
 }
 
 Test(evacuations, sixty_five_entry_vms_know_in_half_of_the_bound)
 {
-    check(65, lostThird, 2);
+    check(65, heavyLoss, 2);
 }
 
 Test(evacuations, a_fleet_of_195_knows_in_half_of_the_bound)
 {
-    check(195, lostThird, 3);
+    check(195, heavyLoss, 3);
 }
 
 Test(evacuations, nothing_is_sent_to_an_evacuated_zone)
 {
-    GatewayFixture bench;
-    auto endpoint = *bench.endpointRegistry_.find(VmId("p-0"));
-    endpoint.zone_ = emptied;
-    bench.endpointRegistry_.put(endpoint);
-    bench.endpointRegistry_.setEvacuated({emptied});
+    GatewayFixture fixture;
+    auto endpoint = *fixture.endpointRegistry_.find(VmId("p-0"));
+    endpoint.zone_ = evacuatedZone;
+    fixture.endpointRegistry_.put(endpoint);
+    fixture.endpointRegistry_.setEvacuated({evacuatedZone});
     for (int i = 0; i < 8; ++i) {
-        (void)bench.ask("/again/" + std::to_string(i));
-        cr_assert_eq(bench.lastCall()->field("endpoint"), "p-1");
+        (void)fixture.ask("/again/" + std::to_string(i));
+        cr_assert_eq(fixture.lastCall()->field("endpoint"), "p-1");
     }
 }
 
 Test(evacuations, send_whose_connection_is_being_made_is_withheld)
 {
-    GatewayFixture bench;
-    bench.addGroup("head");
-    auto head = *bench.endpointRegistry_.find(VmId("head"));
-    head.zone_ = emptied;
-    bench.endpointRegistry_.put(head);
-    (void)bench.ask("/stream/1");
-    bench.endpointRegistry_.setEvacuated({emptied});
-    cr_assert_not(bench.lastCall()->connect());
+    GatewayFixture fixture;
+    fixture.addGroup("head");
+    auto head = *fixture.endpointRegistry_.find(VmId("head"));
+    head.zone_ = evacuatedZone;
+    fixture.endpointRegistry_.put(head);
+    (void)fixture.ask("/stream/1");
+    fixture.endpointRegistry_.setEvacuated({evacuatedZone});
+    cr_assert_not(fixture.lastCall()->connect());
 }
 
 Test(evacuations, group_serves_again_once_its_zone_is_back)
 {
-    GatewayFixture bench;
-    bench.addGroup("head");
-    auto head = *bench.endpointRegistry_.find(VmId("head"));
-    head.zone_ = emptied;
-    bench.endpointRegistry_.put(head);
-    bench.endpointRegistry_.setEvacuated({emptied});
-    const auto caller = bench.ask("/stream/1");
-    cr_assert(bench.upstream_.calls_.empty());
-    bench.endpointRegistry_.setEvacuated({});
-    bench.pass(milliseconds(40));
-    cr_assert_eq(bench.upstream_.calls_.size(), 1);
+    GatewayFixture fixture;
+    fixture.addGroup("head");
+    auto head = *fixture.endpointRegistry_.find(VmId("head"));
+    head.zone_ = evacuatedZone;
+    fixture.endpointRegistry_.put(head);
+    fixture.endpointRegistry_.setEvacuated({evacuatedZone});
+    const auto caller = fixture.ask("/stream/1");
+    cr_assert(fixture.upstream_.calls_.empty());
+    fixture.endpointRegistry_.setEvacuated({});
+    fixture.pass(milliseconds(40));
+    cr_assert_eq(fixture.upstream_.calls_.size(), 1);
 }
 
 Test(evacuations, endpoints_of_a_zone_that_is_back_count_as_cold)
@@ -161,7 +161,7 @@
 
 Test(evacuations, zone_that_is_emptied_and_back_within_a_moment_serves)
 {
-    Fleet fleet(65, lostThird, 6);
+    Fleet fleet(65, heavyLoss, 6);
     fleet.nodes_.evacuate("a");
     fleet.nodes_.pass(milliseconds(60));
     fleet.nodes_.takeBack("a");
@@ -172,18 +172,18 @@
 Test(evacuations, older_word_of_a_peer_does_not_bring_an_evacuation_back)
 {
     Evacuations evacuations;
-    cr_assert(evacuations.changed(emptied, true, RowVersion(5)));
-    cr_assert(evacuations.changed(emptied, false, RowVersion(8)));
-    cr_assert_not(evacuations.take({RowVersion(6), {emptied}}));
+    cr_assert(evacuations.changed(evacuatedZone, true, RowVersion(5)));
+    cr_assert(evacuations.changed(evacuatedZone, false, RowVersion(8)));
+    cr_assert_not(evacuations.take({RowVersion(6), {evacuatedZone}}));
     cr_assert(evacuations.zones().empty());
 }
 
 Test(evacuations, restored_store_that_lacks_the_row_takes_nothing_back)
 {
     Evacuations evacuations;
-    (void)evacuations.changed(emptied, true, RowVersion(5));
+    (void)evacuations.changed(evacuatedZone, true, RowVersion(5));
     cr_assert_not(evacuations.listed({}, RowVersion(9), true));
-    cr_assert(evacuations.zones().contains(emptied));
+    cr_assert(evacuations.zones().contains(evacuatedZone));
     cr_assert(evacuations.listed({}, RowVersion(10), false));
 }
 
@@ -193,7 +193,7 @@
     digest.from_ = EntryId("entry");
     digest.relay_ = RelayState{ConfigVersion(3), {}, RowVersion(9), {}};
     cr_assert_eq(encode(digest).find("evacuated"), std::string::npos);
-    digest.relay_->evacuations_ = {RowVersion(12), {emptied}};
+    digest.relay_->evacuations_ = {RowVersion(12), {evacuatedZone}};
     cr_assert_eq(decodeLoadDigest(encode(digest))->relay_->evacuations_,
                  digest.relay_->evacuations_);
 }
--- a/tests/fleet_limits/restarts.cpp
+++ b/tests/fleet_limits/restarts.cpp
@@ -1,4 +1,4 @@
-// Real gateways that are killed and paused before endpoints that limit the rate of requests.
+// Tests rate limits with real gateway processes that are killed and paused.
 #include "fleet_platform/limit_checks.hpp"
 
 #include <thread>
--- a/tests/leaving_endpoints/regressions.cpp
+++ b/tests/leaving_endpoints/regressions.cpp
@@ -1,5 +1,5 @@
-// Endpoints that leave: when all entry VMs have stopped to use them, whatever happens to some of
-// these and to the store.
+// Tests how soon all entry VMs stop using endpoints that shut down, while some entry VMs or the
+// store fail.
 #include "support/node_fleet.hpp"
 
 #include <algorithm>
@@ -17,17 +17,17 @@
 
 namespace {
 
-/// An endpoint that leaves gets nothing new after that time.
+/// Required time after which an endpoint that shuts down gets no new requests.
 constexpr Duration leavingBound = seconds(2);
-/// An entry VM, or the store, counts as undisturbed after that time without a fault.
+/// Time without a fault after which an entry VM or the store counts as undisturbed.
 constexpr Duration settledAfter = seconds(3);
 constexpr Duration step = milliseconds(10);
 
-/// Endpoints leave one after the other while entry VMs and the store fail.
-class LeavingPlay
+/// Shuts down endpoints one after the other while entry VMs and the store fail.
+class LeavingSimulation
 {
 public:
-    LeavingPlay(std::size_t entries, std::size_t zones, std::uint64_t seed)
+    LeavingSimulation(std::size_t entries, std::size_t zones, std::uint64_t seed)
         : fleet_(entries, zones, entries > 16 ? 1 : 0, seed)
         , random_(seed)
         , faultyUntil_(entries)
@@ -40,12 +40,12 @@
         fleet_.pass(seconds(6));
     }
 
-    /// \returns the longest time after which an undisturbed entry VM still used an endpoint that
-    /// had left.
+    /// \returns the longest time for which an undisturbed entry VM still used an endpoint after its
+    /// shutdown.
     Duration run()
     {
         for (int i = 0; i < endpoints; ++i) {
-            fail();
+            injectFaults();
             pass(milliseconds(random_.below(4000)));
             leave(i);
             pass(leavingBound + milliseconds(random_.below(1500)));
@@ -53,12 +53,12 @@
         return longest_;
     }
 
-    std::string worst_; ///< What the longest time was seen on.
+    std::string worst_; ///< Entry VM and endpoint with the longest time.
 
 private:
     static constexpr int endpoints = 12;
 
-    void fail()
+    void injectFaults()
     {
         const auto now = fleet_.clock_.now();
         const auto until = now + milliseconds(500 + random_.below(6000));
@@ -80,7 +80,7 @@
         }
     }
 
-    void mend()
+    void clearFaults()
     {
         const auto now = fleet_.clock_.now();
         if (now >= storeFaultyUntil_)
@@ -98,31 +98,31 @@
     void leave(int index)
     {
         const auto name = "e" + std::to_string(index);
-        isNoticed_ = random_.below(2) == 0;
-        if (isNoticed_)
+        isAnnounced_ = random_.below(2) == 0;
+        if (isAnnounced_)
             fleet_.drain(name);
         else
             fleet_.list(name, "");
         leaving_ = VmId(name);
         leftAt_ = fleet_.clock_.now();
-        // What the store acknowledges while it is disturbed is bound by nothing.
-        isBound_ = leftAt_ - storeFaultyUntil_ >= settledAfter;
+        // No bound applies to changes made while the store is disturbed.
+        isJudged_ = leftAt_ - storeFaultyUntil_ >= settledAfter;
     }
 
     void pass(Duration time)
     {
         for (Duration done{}; done < time; done += step) {
-            mend();
+            clearFaults();
             fleet_.pass(step);
-            look();
+            checkUse();
         }
     }
 
-    void look()
+    void checkUse()
     {
         const auto now = fleet_.clock_.now();
-        // An entry VM counts as undisturbed only while the store is.
-        if (!leaving_ || !isBound_ || now - storeFaultyUntil_ < settledAfter)
+        // An entry VM counts as undisturbed only while the store is undisturbed.
+        if (!leaving_ || !isJudged_ || now - storeFaultyUntil_ < settledAfter)
             return;
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
             const auto *known = fleet_.node(i).endpointRegistry_.find(*leaving_);
@@ -131,7 +131,7 @@
                 continue;
             longest_ = now - leftAt_;
             worst_ = "node " + std::to_string(i) + ", " + leaving_->text()
-                     + (isNoticed_ ? " draining" : " gone");
+                     + (isAnnounced_ ? " draining" : " gone");
         }
     }
 
@@ -141,12 +141,12 @@
     TimePoint storeFaultyUntil_{};
     std::optional<VmId> leaving_;
     TimePoint leftAt_{};
-    bool isNoticed_ = false;
-    bool isBound_ = false;
+    bool isAnnounced_ = false;
+    bool isJudged_ = false;
     Duration longest_{};
 };
 
-/// How long endpoints that had left were still used, over many plays.
+/// Distribution of the time for which endpoints were still used after their shutdown.
 struct Distribution
 {
     void add(Duration time) { times_.push_back(time); }
@@ -172,11 +172,11 @@
     std::vector<Duration> times_;
 };
 
-/// The store falls silent for some entry VMs, and an endpoint leaves while all others reach it.
-class SilencePlay
+/// Cuts some entry VMs off from the store and shuts down an endpoint while all others reach it.
+class StoreLossSimulation
 {
 public:
-    SilencePlay(std::size_t entries, std::size_t zones, std::uint64_t seed)
+    StoreLossSimulation(std::size_t entries, std::size_t zones, std::uint64_t seed)
         : fleet_(entries, zones, entries > 16 ? 1 : 0, seed)
     {
         fleet_.faults_ = {0.01, milliseconds(5)};
@@ -187,16 +187,16 @@
         fleet_.pass(seconds(6));
     }
 
-    /// \param silent the entry VMs for which the store falls silent.
-    /// \param before how long before the endpoint leaves it does.
-    /// \returns the time until no other entry VM uses the endpoint any more.
-    Duration play(const std::vector<std::size_t> &silent, Duration before, bool isNoticed)
+    /// \param silent entry VMs that get no answer from the store.
+    /// \param before how long before the shutdown they lose the store.
+    /// \returns the time until no other entry VM uses the endpoint.
+    Duration simulation(const std::vector<std::size_t> &silent, Duration before, bool isAnnounced)
     {
         for (const auto index : silent)
             fleet_.node(index).isStoreSilent_ = true;
         fleet_.pass(before);
         const auto name = "e" + std::to_string(next_);
-        if (isNoticed)
+        if (isAnnounced)
             fleet_.drain(name);
         else
             fleet_.list(name, "");
@@ -232,8 +232,8 @@
     int next_ = 0;
 };
 
-/// An endpoint ends 6 s after an outage of the store, and no datagram tells of it.
-/// \returns the time until no entry VM uses it any more.
+/// Shuts down an endpoint 6 s after a store outage, while all datagrams are lost.
+/// \returns the time until no entry VM uses it.
 Duration timeToKnowEndAfter(Duration outage)
 {
     NodeFleet fleet(7, 3, 0, 5);
@@ -247,7 +247,7 @@
     fleet.pass(seconds(6));
     fleet.list("e0", "");
     const auto endedAt = fleet.clock_.now();
-    // What is passed on is lost, so that all have to ask.
+    // Relayed updates are lost, so that all entry VMs have to query the store.
     fleet.faults_.lossShare_ = 1;
     fleet.pass(milliseconds(100));
     fleet.faults_.lossShare_ = 0;
@@ -263,7 +263,7 @@
     return fleet.clock_.now() - endedAt;
 }
 
-/// Seeds that are played: LEAVING_SEEDS by hand, a few otherwise.
+/// Number of seeds: LEAVING_SEEDS if set, otherwise a few.
 std::uint64_t seedCount()
 {
     const auto *text = std::getenv("LEAVING_SEEDS");
@@ -272,20 +272,21 @@
 
 } // namespace
 
-/// Callers' requests reached an endpoint up to 2.2 s after it had said that it leaves; the bound is
-/// 2 s. Half of the entry VMs had just lost the store; those that were late reach it all the while.
+/// Guards against requests reaching an endpoint up to 2.2 s after its shutdown notice, where 2 s
+/// are allowed. This happened when half of the entry VMs had just lost the store, on entry VMs that
+/// still reached it.
 Test(leaving_endpoints, none_is_used_after_its_bound_whichever_entry_vms_lose_the_store)
 {
     Distribution times;
-    SilencePlay play(7, 3, 3);
-    for (std::size_t mask = 0; mask + 1 < std::size_t{1} << play.size(); ++mask) {
+    StoreLossSimulation simulation(7, 3, 3);
+    for (std::size_t mask = 0; mask + 1 < std::size_t{1} << simulation.size(); ++mask) {
         std::vector<std::size_t> silent;
-        for (std::size_t i = 0; i < play.size(); ++i) {
+        for (std::size_t i = 0; i < simulation.size(); ++i) {
             if ((mask >> i & 1U) != 0)
                 silent.push_back(i);
         }
-        const milliseconds before(play.random().below(1600));
-        const auto time = play.play(silent, before, mask % 2 == 0);
+        const milliseconds before(simulation.random().below(1600));
+        const auto time = simulation.simulation(silent, before, mask % 2 == 0);
         times.add(time);
         cr_expect_lt(time.count(), leavingBound.count(), "mask %zx before %lld: %lld ms", mask,
                      static_cast<long long>(before.count()),
@@ -294,10 +295,11 @@
     times.print("7 entry VMs, each set of them without the store");
 }
 
-/// Requests reached an endpoint for 1.9 s after the entry VM knew that it was no longer listed. The
-/// store had been away 6 s before; most entry VMs do not watch it and had not called it since. When
-/// one missed a change and asked for it, that first answer counted as the store's return, after
-/// which missing entries are excused; the change that it brought was the endpoint's end.
+/// Guards against using an endpoint for 1.9 s after the entry VM learned that it was no longer
+/// listed. This happened 6 s after a store outage: most entry VMs do not watch the store and had
+/// not called it since. When one queried a missed change, the first answer counted as the store's
+/// return, which starts a grace period for missing entries, and the change was the endpoint's
+/// removal.
 Test(leaving_endpoints, end_is_not_excused_by_an_outage_that_is_long_over)
 {
     Distribution times;
@@ -307,8 +309,8 @@
     cr_assert_lt(times.longest().count(), leavingBound.count());
 }
 
-/// What the excuse is for: entries lapse while the store is away, and endpoints that live write
-/// them again within two seconds of its return.
+/// The grace period covers entries that expire during a store outage: live endpoints rewrite them
+/// within two seconds of the store's return.
 Test(leaving_endpoints, entry_that_lapsed_in_an_outage_is_used_until_it_is_back)
 {
     for (int outage = 2400; outage <= 6000; outage += 600) {
@@ -334,21 +336,23 @@
     }
 }
 
-/// Sets of entry VMs lose the store in fleets whose digests go by way of reporters; they are drawn.
+/// Random sets of entry VMs lose the store in fleets whose digests are relayed by reporters.
 Test(leaving_endpoints, none_is_used_after_its_bound_in_large_fleets)
 {
     for (const std::size_t entries : {40U, 195U}) {
         Distribution times;
-        SilencePlay play(entries, 5, 4);
+        StoreLossSimulation simulation(entries, 5, 4);
         for (int i = 0; i < (entries > 100 ? 6 : 30); ++i) {
             std::vector<std::size_t> silent;
-            const double share = play.random().unit();
+            const double share = simulation.random().unit();
             for (std::size_t index = 0; index < entries; ++index) {
-                // In every second play among them those that watch for all, the large ones.
-                if (play.random().unit() < share || (i % 2 == 0 && index < 5))
+                // Every second run includes the entry VMs that watch the store for all others, the
+                // largest ones.
+                if (simulation.random().unit() < share || (i % 2 == 0 && index < 5))
                     silent.push_back(index);
             }
-            times.add(play.play(silent, milliseconds(play.random().below(1600)), i % 4 < 2));
+            times.add(simulation.simulation(silent, milliseconds(simulation.random().below(1600)),
+                                            i % 4 < 2));
         }
         const auto name = std::to_string(entries) + " entry VMs, sets of them without the store";
         times.print(name.c_str());
@@ -356,37 +360,37 @@
     }
 }
 
-/// Read, not seen: a connection may take 250 ms, and a process may stand still before its request
-/// is written. The endpoint may say meanwhile that it leaves.
+/// Guards against a race found by reading the code: connecting may take 250 ms, and the process may
+/// be paused before it writes the request. The endpoint may announce its shutdown in the meantime.
 Test(leaving_endpoints, request_is_not_sent_to_an_endpoint_that_left_before_the_connection_was_up)
 {
-    for (const bool isNoticed : {true, false}) {
-        GatewayFixture bench;
-        const auto caller = bench.ask("/once/7");
-        const auto first = bench.lastCall();
-        auto endpoint = *bench.endpointRegistry_.find(VmId(first->field("endpoint")));
+    for (const bool isAnnounced : {true, false}) {
+        GatewayFixture fixture;
+        const auto caller = fixture.ask("/once/7");
+        const auto first = fixture.lastCall();
+        auto endpoint = *fixture.endpointRegistry_.find(VmId(first->field("endpoint")));
         endpoint.isDraining_ = true;
-        if (isNoticed)
-            bench.endpointRegistry_.put(endpoint);
+        if (isAnnounced)
+            fixture.endpointRegistry_.put(endpoint);
         else
-            bench.endpointRegistry_.remove(endpoint.id_, bench.clock_.now());
+            fixture.endpointRegistry_.remove(endpoint.id_, fixture.clock_.now());
         cr_assert_not(first->connect());
-        cr_assert_eq(bench.upstream_.calls_.size(), 2);
-        cr_assert_neq(bench.lastCall()->field("endpoint"), endpoint.id_.text());
-        cr_assert(bench.lastCall()->connect());
+        cr_assert_eq(fixture.upstream_.calls_.size(), 2);
+        cr_assert_neq(fixture.lastCall()->field("endpoint"), endpoint.id_.text());
+        cr_assert(fixture.lastCall()->connect());
         cr_assert_not(caller->answer_);
     }
 }
 
-/// Leaving beside pauses of entry VMs, other cuts and outages of the store that come one after the
+/// Shutdowns combined with entry VM pauses, connection losses and store outages, which follow each
 /// other and overlap.
 Test(leaving_endpoints, none_is_used_after_its_bound_by_an_undisturbed_entry_vm)
 {
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        LeavingPlay play(7, 3, seed);
-        const auto longest = play.run();
+        LeavingSimulation simulation(7, 3, seed);
+        const auto longest = simulation.run();
         std::printf("seed %llu: %lld ms (%s)\n", static_cast<unsigned long long>(seed),
-                    static_cast<long long>(toMilliseconds(longest)), play.worst_.c_str());
+                    static_cast<long long>(toMilliseconds(longest)), simulation.worst_.c_str());
         cr_expect_lt(longest.count(), leavingBound.count(), "seed %llu",
                      static_cast<unsigned long long>(seed));
     }
