--- a/include/cardamombay/serving/crash_detector.hpp
+++ b/include/cardamombay/serving/crash_detector.hpp
@@ -30,7 +30,7 @@
 /// \brief The crash of an endpoint, as observed by this entry VM.
 struct EndpointCrash
 {
-    EndpointLife endpoint_;
+    EndpointIncarnation endpoint_;
     std::vector<RequestAtCrash> requests_;
 };
 
@@ -50,11 +50,11 @@
     }
 
     /// \brief Records an attempt at the endpoint that broke before its answer was complete.
-    void onAttemptBroken(const EndpointLife &endpoint, const Address &address,
+    void onAttemptBroken(const EndpointIncarnation &endpoint, const Address &address,
                          RequestAtCrash request);
 
     /// \brief Records that the platform lists a new instance of the endpoint.
-    void endpointRestarted(const EndpointLife &endpoint);
+    void endpointRestarted(const EndpointIncarnation &endpoint);
 
     /// \brief Reports detected crashes. Call every Gateway::sweepPeriod.
     void sweep();
@@ -77,7 +77,7 @@
     Clock &clock_;
     net::Upstream &upstream_;
     std::function<void(const EndpointCrash &)> crashCallback_;
-    std::map<EndpointLife, Investigation> investigations_;
+    std::map<EndpointIncarnation, Investigation> investigations_;
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -17,7 +17,7 @@
 #include <cardamombay/serving/failure_blame.hpp>
 #include <cardamombay/serving/gateway_metrics.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 #include <cardamombay/serving/retry_window.hpp>
 
 #include <map>
@@ -48,7 +48,7 @@
     Clock &clock_;
     net::Upstream &upstream_;
     const Dialect &dialect_;
-    LoadBoard &board_;
+    LoadTracker &loadTracker_;
     Balancer &balancer_;
     GatewayMetrics &metrics_;
 };
@@ -113,11 +113,11 @@
     /// \brief Recently started endpoints that accept only a reduced request rate.
     [[nodiscard]] ColdEndpoints &coldEndpoints() { return coldEndpoints_; }
     /// \brief Reserves sends to endpoints with a request rate limit.
-    [[nodiscard]] ReservationDesk &reservations() { return reservations_; }
+    [[nodiscard]] ReservationCoordinator &reservations() { return reservations_; }
     /// \brief Evidence and quarantines of requests that crash endpoints.
     [[nodiscard]] PoisonPills &poisonPills() { return poisonPills_; }
     /// \brief Applies crashes and quarantines reported by a peer.
-    void takePoisonNews(const PoisonNews &news);
+    void takePoisonNews(const PoisonUpdate &news);
     /// \brief Sets the callback for a crash of an endpoint with requests from this entry VM; used
     /// to notify the peers immediately.
     void onEndpointCrash(std::function<void()> action) { crashCallback_ = std::move(action); }
@@ -125,7 +125,7 @@
     /// \brief Handles the restart of an endpoint: its requests are lost, so their attempts fail
     /// immediately instead of waiting for a time-out.
     /// \param endpoint the instance before the restart.
-    void endpointRestarted(const EndpointLife &endpoint, const Address &address);
+    void endpointRestarted(const EndpointIncarnation &endpoint, const Address &address);
     [[nodiscard]] bool isRefusing() const { return isRefusing_; }
     /// \}
 
@@ -187,7 +187,7 @@
     EndpointNotices notices_;
     ColdEndpoints coldEndpoints_;
     LowestRate sendRates_;
-    ReservationDesk reservations_;
+    ReservationCoordinator reservations_;
     EndpointGate gate_;
     std::function<void()> crashCallback_;
     std::unordered_map<Session *, std::shared_ptr<Session>> sessions_;
--- /dev/null
+++ b/include/cardamombay/serving/load_tracker.hpp
@@ -0,0 +1,137 @@
+/// \file
+/// \brief Tracks the load and progress of requests at each endpoint.
+/// \details Detects stalled endpoints: an endpoint with requests in progress that has sent nothing
+/// for longer than a healthy one ever pauses. A stalled endpoint gets no new requests for a while,
+/// then a single trial request.
+#pragma once
+
+#include <cardamombay/core/ids.hpp>
+#include <cardamombay/core/time.hpp>
+#include <cardamombay/serving/endpoint.hpp>
+
+#include <cstddef>
+#include <map>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+namespace cardamombay::serving {
+
+/// \brief Requests in progress by endpoint. Not thread-safe.
+class LoadTracker
+{
+public:
+    /// A group that fails one request is avoided at once, since another group usually serves as
+    /// well.
+    static constexpr double groupErrorWeight = 0.4;
+    /// Some requests to plain services fail at any endpoint, so an endpoint is only avoided after
+    /// four consecutive failures.
+    static constexpr double plainErrorWeight = 0.12;
+
+    /// \name Attempt events
+    /// \{
+    /// \param promptTokens tokens that the endpoint has to prefill.
+    void started(const VmId &endpoint, std::size_t promptTokens, TimePoint now);
+    /// \brief The endpoint sent data: a response head, an event or a complete response.
+    void progressed(const VmId &endpoint, TimePoint now);
+    void ended(const VmId &endpoint);
+    /// \brief The endpoint completed a response without an error of its own.
+    void succeeded(const VmId &endpoint);
+    /// \brief The endpoint responded with an error of its own; it is avoided if errors are
+    /// frequent.
+    /// \param weight weight of this response in the error rate.
+    void erred(const VmId &endpoint, double weight, TimePoint now);
+    /// \brief An attempt at the endpoint failed.
+    void failed(const VmId &endpoint, TimePoint now);
+    /// \brief A stream paused for longer than it ever does at a healthy endpoint.
+    void stalled(const VmId &endpoint, TimePoint now);
+    /// \brief The endpoint's process crashed. This incarnation gets no further requests.
+    void crashed(const EndpointIncarnation &endpoint, TimePoint now);
+    /// \brief The endpoint restarted: clears its pending prompt tokens and failures.
+    void restarted(const VmId &endpoint);
+    /// \}
+
+    /// \brief Load reported by a peer, and the endpoints that are stalled there.
+    struct PeerLoad
+    {
+        std::unordered_map<VmId, std::size_t> counts_;
+        std::unordered_map<VmId, std::size_t> sent_; ///< Prompt tokens sent since the peer started.
+        std::vector<VmId> silent_;
+        TimePoint at_{};
+        std::size_t entries_ = 1; ///< Number of entry VMs in this sum.
+        /// Entry VMs that receive data from an endpoint.
+        std::unordered_map<VmId, std::size_t> heard_{};
+    };
+
+    /// \brief Replaces the last report of a peer.
+    void setPeerLoad(const std::string &peer, PeerLoad load);
+
+    /// \brief Drops the reports of all peers, since later ones come from other senders.
+    void forgetPeers() { peers_.clear(); }
+
+    /// \brief Removes idle endpoints, outdated peer reports and old crashes.
+    void expire(TimePoint now);
+
+    /// \name State
+    /// \{
+    /// \brief Requests of this entry VM in progress at the endpoint.
+    [[nodiscard]] std::size_t ownRequests(const VmId &endpoint) const;
+    /// \brief Known requests of all entry VMs in progress at the endpoint.
+    [[nodiscard]] std::size_t totalRequests(const VmId &endpoint) const;
+    /// \brief Prompt tokens of all entry VMs that the endpoint has yet to prefill, assuming it
+    /// processes \p tokensPerSecond.
+    [[nodiscard]] double pendingPromptTokens(const VmId &endpoint, double tokensPerSecond,
+                                             TimePoint now) const;
+    /// \brief Endpoints that stalled at this entry VM and have sent nothing since.
+    [[nodiscard]] std::vector<VmId> locallyStalled() const;
+    /// \brief Endpoints with stalled streams at this entry VM or a peer that no entry VM receives
+    /// data from.
+    [[nodiscard]] std::vector<VmId> stalledEverywhere(TimePoint now) const;
+    /// \brief Endpoints that have recently sent data to requests still in progress.
+    [[nodiscard]] std::unordered_map<VmId, std::size_t> locallyActive(TimePoint now) const;
+    /// \brief False while the endpoint is avoided after a failure or on trial.
+    [[nodiscard]] bool isUsable(const VmId &endpoint, TimePoint now) const;
+    /// \brief True if this incarnation of the endpoint is known to have crashed.
+    [[nodiscard]] bool hasCrashed(const VmId &endpoint, std::uint64_t startedAt) const;
+    /// \brief When the endpoint last sent data; the epoch if never.
+    [[nodiscard]] TimePoint lastProgressAt(const VmId &endpoint) const;
+    /// \brief Number of other entry VMs whose counts are known.
+    [[nodiscard]] std::size_t peerCount() const;
+    /// \brief Requests of this entry VM by endpoint, reported to peers.
+    [[nodiscard]] std::unordered_map<VmId, std::size_t> ownRequestCounts() const;
+    /// \brief Prompt tokens sent since this process started, reported to peers; only endpoints that
+    /// received some recently.
+    [[nodiscard]] std::unordered_map<VmId, std::size_t> ownSentTokens(TimePoint now) const;
+    /// \}
+
+private:
+    struct Entry
+    {
+        std::size_t ownRequests_ = 0;
+        std::size_t sent_ = 0; ///< Prompt tokens sent since this process started.
+        TimePoint sentAt_{};
+        double pendingTokens_ = 0; ///< Pending prompt tokens of all entry VMs as of pendingAsOf_.
+        TimePoint pendingAsOf_{};
+        double prefillTokensPerSecond_ = 0; ///< Last rate passed to pendingPromptTokens().
+        TimePoint progressedAt_{};
+        TimePoint avoidUntil_{};
+        double failures_ = 0; ///< Decaying count; a success subtracts part of a failure.
+        double errorRate_ = 0;
+        bool isOnTrial_ = false;
+        bool isStalled_ = false;
+    };
+    [[nodiscard]] bool isActiveAnywhere(const VmId &endpoint, TimePoint now) const;
+    static void addPendingTokens(Entry &entry, double tokens, TimePoint now);
+
+    /// Mutable because pendingPromptTokens() updates the token count and rate.
+    mutable std::unordered_map<VmId, Entry> entries_;
+    struct Crash
+    {
+        std::uint64_t startedAt_ = 0; ///< Start time of the crashed incarnation.
+        TimePoint at_{};
+    };
+    std::unordered_map<VmId, Crash> crashed_;
+    std::map<std::string, PeerLoad> peers_;
+};
+
+} // namespace cardamombay::serving
--- a/include/cardamombay/serving/peer_digests.hpp
+++ b/include/cardamombay/serving/peer_digests.hpp
@@ -60,9 +60,9 @@
     /// Its request rate per model, weighted by work per request.
     std::map<ModelName, double> demand_;
     std::map<ServiceName, RetryCounts> retries_; ///< Counts of the last window.
-    PoisonNews poison_;                          ///< Requests that crash endpoints.
-    std::vector<LimitNews> limits_;              ///< Limits that endpoints announced.
-    std::vector<CooldownNews> cooldowns_; ///< Cooldowns that endpoints announced to the sender.
+    PoisonUpdate poison_;                          ///< Requests that crash endpoints.
+    std::vector<LimitUpdate> limits_;              ///< Limits that endpoints announced.
+    std::vector<CooldownUpdate> cooldowns_; ///< Cooldowns that endpoints announced to the sender.
     bool isDraining_ = false;
 
     friend bool operator==(const LoadDigest &, const LoadDigest &) = default;
--- a/include/cardamombay/serving/poison_pills.hpp
+++ b/include/cardamombay/serving/poison_pills.hpp
@@ -29,21 +29,21 @@
 };
 
 /// \brief Observations that entry VMs exchange.
-struct PoisonNews
+struct PoisonUpdate
 {
     /// Requests that were in flight at endpoints that crashed recently.
-    std::map<EndpointLife, std::vector<RequestAtCrash>> crashes_;
+    std::map<EndpointIncarnation, std::vector<RequestAtCrash>> crashes_;
     std::vector<PoisonVerdict>
         verdicts_; ///< Part of the active ones; successive messages cycle through all.
     /// Requests that were recently served or whose quarantine was recently lifted.
     std::vector<RequestFingerprint> cleared_;
 
     [[nodiscard]] bool isEmpty() const;
-    friend bool operator==(const PoisonNews &, const PoisonNews &) = default;
+    friend bool operator==(const PoisonUpdate &, const PoisonUpdate &) = default;
 };
 
 /// \brief Merges \p from into \p into; a crash that both contain is kept once.
-void mergeNews(PoisonNews &into, const PoisonNews &from);
+void mergeUpdates(PoisonUpdate &into, const PoisonUpdate &from);
 
 /// \brief Evidence and verdicts of one entry VM. Not thread-safe; used on the gateway's thread.
 /// \code
@@ -72,7 +72,7 @@
     /// stops several of them at once, would otherwise quarantine it.
     void served(const RequestFingerprint &request, TimePoint now);
     /// \brief Applies the observations of a peer.
-    void take(const PoisonNews &news, TimePoint now);
+    void take(const PoisonUpdate &news, TimePoint now);
     /// \brief Restores a verdict that was persisted across a restart.
     void restore(const RequestFingerprint &request, TimePoint now);
     /// \brief Ends a quarantine on behalf of an operator.
@@ -89,19 +89,20 @@
     /// \brief True if an endpoint crashed during the request and it was not served since.
     [[nodiscard]] bool isSuspect(const RequestFingerprint &request) const;
     /// \brief Quarantined requests, with the endpoints that crashed during them.
-    [[nodiscard]] std::map<RequestFingerprint, std::vector<EndpointLife>>
+    [[nodiscard]] std::map<RequestFingerprint, std::vector<EndpointIncarnation>>
     quarantined(TimePoint now) const;
     /// \brief Observations for the peers; each is repeated in several messages because datagrams
     /// may be lost.
-    [[nodiscard]] PoisonNews news(TimePoint now);
+    [[nodiscard]] PoisonUpdate news(TimePoint now);
     [[nodiscard]] std::size_t suspects() const { return records_.size(); }
     /// \}
 
 private:
     struct Record
     {
-        std::map<EndpointLife, bool> crashes_; ///< True if the endpoint had started to answer.
-        std::vector<EndpointLife> ignored_;    ///< Crashes before the request was served.
+        std::map<EndpointIncarnation, bool>
+            crashes_;                              ///< True if the endpoint had started to answer.
+        std::vector<EndpointIncarnation> ignored_; ///< Crashes before the request was served.
         TimePoint lastEvidenceAt_{};
         TimePoint quarantinedUntil_{}; ///< End of the quarantine; the epoch if none.
         TimePoint clearedAt_{};
@@ -116,7 +117,8 @@
 
     [[nodiscard]] bool wasRecentlyServed(const RequestFingerprint &request, TimePoint now) const;
     void announceCleared(const RequestFingerprint &request, TimePoint now);
-    void recordCrash(const EndpointLife &endpoint, const RequestAtCrash &request, TimePoint now);
+    void recordCrash(const EndpointIncarnation &endpoint, const RequestAtCrash &request,
+                     TimePoint now);
     void applyVerdict(const PoisonVerdict &verdict, TimePoint now);
     void quarantine(const RequestFingerprint &request, Record &record, Duration time,
                     TimePoint now);
--- a/include/cardamombay/serving/replica_manager.hpp
+++ b/include/cardamombay/serving/replica_manager.hpp
@@ -7,9 +7,9 @@
 
 #include <cardamombay/core/clock.hpp>
 #include <cardamombay/leases/lease_keeper.hpp>
-#include <cardamombay/serving/endpoint_book.hpp>
+#include <cardamombay/serving/endpoint_registry.hpp>
 #include <cardamombay/serving/group_heads.hpp>
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 #include <cardamombay/serving/replica_planner.hpp>
 #include <cardamombay/serving/route_table.hpp>
 
@@ -23,8 +23,8 @@
     Clock &clock_;
     leases::LeaseKeeper &lease_;
     ReplicaOrders &orders_;
-    const EndpointBook &book_;
-    const LoadBoard &board_;
+    const EndpointRegistry &endpointRegistry_;
+    const LoadTracker &loadTracker_;
     const ModelMix *mix_ = nullptr; ///< Null: engines keep their models.
 };
 
@@ -114,13 +114,13 @@
     {
         TimePoint until_{}; ///< Latest time at which the load ends.
         ModelName model_;
-        std::uint64_t bornAt_ = 0; ///< Start of the engine; see `Endpoint::bornAt_`.
+        std::uint64_t startedAt_ = 0; ///< Start of the engine; see `Endpoint::startedAt_`.
     };
     /// Consecutive queries that an engine has not answered.
     struct UnansweredQueries
     {
         std::uint32_t count_ = 0;
-        std::uint64_t bornAt_ = 0; ///< Start of the engine; see `Endpoint::bornAt_`.
+        std::uint64_t startedAt_ = 0; ///< Start of the engine; see `Endpoint::startedAt_`.
     };
 
     std::map<VmId, Load> loads_;
@@ -128,7 +128,7 @@
     std::map<GroupName, StateQuery> stateQueries_;
     std::map<VmId, UnansweredQueries> unansweredQueries_;
     TimePoint plannedAt_{};
-    std::uint64_t plannedRevision_ = 0; ///< Revision of the endpoint book at the last plan.
+    std::uint64_t plannedRevision_ = 0; ///< Revision of the endpoint registry at the last plan.
     bool hadOrders_ = false;            ///< Orders were sent or have completed since the last plan.
     Epoch counterEpoch_;
     std::uint64_t epochCounter_ = 0;
--- a/include/cardamombay/serving/replica_orders.hpp
+++ b/include/cardamombay/serving/replica_orders.hpp
@@ -91,20 +91,20 @@
     virtual void state(const Endpoint &engine, Callback<Endpoint> done) = 0;
 
     /// \brief Sets the handler for the notices that engines attach to their answers.
-    void onNotices(std::function<void(const EndpointLife &, const AnswerNotices &)> action)
+    void onNotices(std::function<void(const EndpointIncarnation &, const AnswerNotices &)> action)
     {
         noticed_ = std::move(action);
     }
 
 protected:
-    void reportNotices(const EndpointLife &engine, const AnswerNotices &notices) const
+    void reportNotices(const EndpointIncarnation &engine, const AnswerNotices &notices) const
     {
         if (noticed_)
             noticed_(engine, notices);
     }
 
 private:
-    std::function<void(const EndpointLife &, const AnswerNotices &)> noticed_;
+    std::function<void(const EndpointIncarnation &, const AnswerNotices &)> noticed_;
 };
 
 } // namespace cardamombay::serving
--- a/src/serving/crash_detector.cpp
+++ b/src/serving/crash_detector.cpp
@@ -62,7 +62,7 @@
 
 CrashDetector::~CrashDetector() = default;
 
-void CrashDetector::onAttemptBroken(const EndpointLife &endpoint, const Address &address,
+void CrashDetector::onAttemptBroken(const EndpointIncarnation &endpoint, const Address &address,
                                     RequestAtCrash request)
 {
     const auto [place, isNew] = investigations_.try_emplace(endpoint);
@@ -76,7 +76,7 @@
         one.requests_.push_back(request);
 }
 
-void CrashDetector::endpointRestarted(const EndpointLife &endpoint)
+void CrashDetector::endpointRestarted(const EndpointIncarnation &endpoint)
 {
     const auto found = investigations_.find(endpoint);
     if (found != investigations_.end())
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -112,7 +112,7 @@
 
 void Gateway::onAttemptBroken(const Target &target, RequestAtCrash request)
 {
-    crashDetector_.onAttemptBroken(target.life(), target.address_, request);
+    crashDetector_.onAttemptBroken(target.incarnation(), target.address_, request);
 }
 
 bool Gateway::blamesEndpoint(const RequestFingerprint &request, const VmId &endpoint)
@@ -136,17 +136,17 @@
                                           {"under-way", std::to_string(crash.requests_.size())},
                                           {"had-events", std::to_string(begun)},
                                           {"without-events", waiting}});
-    parts_.board_.crashed(crash.endpoint_, parts_.clock_.now());
+    parts_.loadTracker_.crashed(crash.endpoint_, parts_.clock_.now());
     poisonPills_.endpointCrashed(crash, parts_.clock_.now());
     if (crashCallback_)
         crashCallback_();
 }
 
-void Gateway::takePoisonNews(const PoisonNews &news)
+void Gateway::takePoisonNews(const PoisonUpdate &news)
 {
     const auto now = parts_.clock_.now();
     for (const auto &[endpoint, requests] : news.crashes_)
-        parts_.board_.crashed(endpoint, now);
+        parts_.loadTracker_.crashed(endpoint, now);
     poisonPills_.take(news, now);
 }
 
@@ -192,10 +192,10 @@
         session->terminate();
 }
 
-void Gateway::endpointRestarted(const EndpointLife &endpoint, const Address &address)
+void Gateway::endpointRestarted(const EndpointIncarnation &endpoint, const Address &address)
 {
     parts_.upstream_.dropUnused(address);
-    parts_.board_.restarted(endpoint.id_);
+    parts_.loadTracker_.restarted(endpoint.id_);
     const auto sessions = sessions_;
     for (const auto &[key, session] : sessions)
         session->endpointRestarted(endpoint.id_);
--- a/src/serving/node.cpp
+++ b/src/serving/node.cpp
@@ -72,8 +72,8 @@
 
 Node::~Node()
 {
-    parts_.book_.onRestarted({});
-    parts_.book_.setKnownLeaving({});
+    parts_.endpointRegistry_.onRestarted({});
+    parts_.endpointRegistry_.setLeavingCheck({});
     parts_.gateway_.notices().onLeaving({});
     parts_.gateway_.onEndpointCrash({});
     parts_.gateway_.reservations().onSend({});
@@ -82,11 +82,14 @@
 void Node::start()
 {
     parts_.datagrams_.onReceived([this](std::string_view text) { onDatagram(text); });
-    parts_.book_.onRestarted([this](const Endpoint &before) { endpointRestarted(before); });
+    parts_.endpointRegistry_.onRestarted(
+        [this](const Endpoint &before) { endpointRestarted(before); });
     auto &notices = parts_.gateway_.notices();
-    notices.onLeaving([this](const EndpointLife &endpoint) { parts_.book_.markLeaving(endpoint); });
-    parts_.book_.setKnownLeaving(
-        [&notices](const EndpointLife &endpoint) { return notices.isLeaving(endpoint); });
+    notices.onLeaving([this](const EndpointIncarnation &endpoint) {
+        parts_.endpointRegistry_.markLeaving(endpoint);
+    });
+    parts_.endpointRegistry_.setLeavingCheck(
+        [&notices](const EndpointIncarnation &endpoint) { return notices.isLeaving(endpoint); });
     startedAt_ = parts_.clock_.now();
     storeAnsweredAt_ = startedAt_;
     updateLearning();
@@ -339,7 +342,7 @@
     log::info(event::absenceExcused,
               {{"gap-ms", std::to_string(toMilliseconds(gap))},
                {"for-ms", std::to_string(toMilliseconds(absenceGracePeriod))}});
-    parts_.book_.excuseAbsence(asOf + absenceGracePeriod);
+    parts_.endpointRegistry_.tolerateAbsence(asOf + absenceGracePeriod);
 }
 
 void Node::tickFast()
@@ -397,8 +400,8 @@
 void Node::tickPlan()
 {
     const auto now = parts_.clock_.now();
-    parts_.book_.expire(now);
-    parts_.board_.expire(now);
+    parts_.endpointRegistry_.expire(now);
+    parts_.loadTracker_.expire(now);
     clocks_.expire(now);
     checkViewAge(now);
     logEndpoints(now);
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -67,17 +67,19 @@
     digest.zone_ = settings_.zone_;
     digest.capacity_ = settings_.capacity();
     digest.stamp_ = {settings_.incarnation_, readingOf(now)};
-    digest.underWay_ = parts_.board_.ownCounts();
-    digest.sent_ = parts_.board_.ownSent(now);
-    digest.silent_ = parts_.board_.silentHere();
-    digest.heard_ = parts_.board_.heardHere(now);
+    digest.underWay_ = parts_.loadTracker_.ownRequestCounts();
+    digest.sent_ = parts_.loadTracker_.ownSentTokens(now);
+    digest.silent_ = parts_.loadTracker_.locallyStalled();
+    digest.heard_ = parts_.loadTracker_.locallyActive(now);
     digest.demand_ = ownDemand_;
     digest.retries_ = parts_.gateway_.retryCounts(now);
     digest.poison_ = parts_.gateway_.poisonPills().news(now);
     auto &reservations = parts_.gateway_.reservations();
-    digest.limits_ = parts_.gateway_.limits().news(
-        now, [&reservations](const EndpointLife &endpoint) { return reservations.owns(endpoint); });
-    digest.cooldowns_ = parts_.gateway_.notices().news(now);
+    digest.limits_ = parts_.gateway_.limits().updates(
+        now, [&reservations](const EndpointIncarnation &endpoint) {
+            return reservations.owns(endpoint);
+        });
+    digest.cooldowns_ = parts_.gateway_.notices().updates(now);
     digest.endpoints_ = endpointWatch_.version();
     digest.isDraining_ = isLeaving_;
     if (isWatching_ && areEndpointsListed_)
@@ -126,7 +128,7 @@
     hasReporters_ = isNeeded;
     reportsSince_ = parts_.clock_.now();
     setPropagationBudget(isNeeded);
-    parts_.board_.forgetPeers();
+    parts_.loadTracker_.forgetPeers();
     sums_.clear();
     for (auto &[entry, peer] : peers_) {
         peer.demand_.clear();
@@ -206,9 +208,9 @@
 void Node::recordLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now)
 {
     sums_[from] = {std::move(sum.demand_), std::move(sum.retries_), now};
-    parts_.board_.setPeerLoad(from.text(),
-                              {std::move(sum.underWay_), std::move(sum.sent_),
-                               std::move(sum.silent_), now, entries, std::move(sum.heard_)});
+    parts_.loadTracker_.setPeerLoad(from.text(),
+                                    {std::move(sum.underWay_), std::move(sum.sent_),
+                                     std::move(sum.silent_), now, entries, std::move(sum.heard_)});
 }
 
 std::size_t Node::entriesIn(const AvailabilityZone &zone) const
@@ -312,16 +314,16 @@
     auto &peer = peers_[digest.from_];
     peer.demand_ = std::move(digest.demand_);
     peer.retries_ = std::move(digest.retries_);
-    parts_.board_.setPeerLoad(digest.from_.text(),
-                              {std::move(digest.underWay_), std::move(digest.sent_),
-                               std::move(digest.silent_), now, 1, std::move(digest.heard_)});
+    parts_.loadTracker_.setPeerLoad(digest.from_.text(),
+                                    {std::move(digest.underWay_), std::move(digest.sent_),
+                                     std::move(digest.silent_), now, 1, std::move(digest.heard_)});
 }
 
 /// A failed engine blocks all streams of its group, so the planner candidates are alerted at once;
 /// digests would take 0.2 s longer.
 void Node::sendSilenceAlarm()
 {
-    auto silent = parts_.board_.silentHere();
+    auto silent = parts_.loadTracker_.locallyStalled();
     std::sort(silent.begin(), silent.end());
     const bool isNew = !std::includes(alarmedEndpoints_.begin(), alarmedEndpoints_.end(),
                                       silent.begin(), silent.end());
@@ -347,11 +349,11 @@
 /// Expires like other load, by when digests or sums of the sender report the stalled endpoints too.
 void Node::onSilenceAlarm(const SilenceAlarm &alarm)
 {
-    LoadBoard::PeerLoad load;
+    LoadTracker::PeerLoad load;
     load.silent_ = alarm.silent_;
     load.at_ = parts_.clock_.now();
     load.entries_ = 0;
-    parts_.board_.setPeerLoad("alarm of " + alarm.from_.text(), std::move(load));
+    parts_.loadTracker_.setPeerLoad("alarm of " + alarm.from_.text(), std::move(load));
     tickPlan();
 }
 
--- a/src/serving/node_quarantines.cpp
+++ b/src/serving/node_quarantines.cpp
@@ -19,7 +19,7 @@
 /// call to the store.
 constexpr Duration liftedCheckInterval = std::chrono::seconds(30);
 
-std::string textOf(const std::vector<EndpointLife> &endpoints)
+std::string textOf(const std::vector<EndpointIncarnation> &endpoints)
 {
     std::string result = "ended:";
     for (const auto &endpoint : endpoints)
--- a/src/serving/node_restores.cpp
+++ b/src/serving/node_restores.cpp
@@ -66,8 +66,8 @@
     const auto now = parts_.clock_.now();
     settledAt_ = now + settleTime;
     parts_.gateway_.countStoreRestore();
-    parts_.book_.excuseAbsence(now + absenceGracePeriod);
-    parts_.book_.holdLeaving(now + leavingHoldTime);
+    parts_.endpointRegistry_.tolerateAbsence(now + absenceGracePeriod);
+    parts_.endpointRegistry_.keepLeaving(now + leavingHoldTime);
     storedQuarantines_.clear();
     for (auto *watch : {&configurationWatch_, &endpointWatch_}) {
         if (watch->isListed() && watch->version().timeline() < *timeline_)
@@ -78,7 +78,7 @@
         {{"timeline", std::to_string(timeline_->value())},
          {"before", std::to_string(before.value())},
          {"seen-by", std::string(source)},
-         {"endpoints", std::to_string(parts_.book_.size())},
+         {"endpoints", std::to_string(parts_.endpointRegistry_.size())},
          {"quarantines", std::to_string(parts_.gateway_.poisonPills().quarantined(now).size())},
          {"settles-in-ms", std::to_string(toMilliseconds(settleTime))}});
     // Notify the peers at once.
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -3,7 +3,7 @@
 #include "serving/notice_json.hpp"
 #include "serving/notification.hpp"
 #include "serving/peer_info_json.hpp"
-#include "serving/poison_news.hpp"
+#include "serving/poison_updates.hpp"
 
 #include <cardamombay/config/address_text.hpp>
 
@@ -255,7 +255,7 @@
     entry.emplace_back(membership.epoch_);
     entry.emplace_back(membership.rank_);
     entry.emplace_back(static_cast<int>(membership.state_));
-    entry.emplace_back(endpoint.bornAt_);
+    entry.emplace_back(endpoint.startedAt_);
     if (endpoint.coldFor_ > Duration::zero())
         entry.emplace_back(microsecondsOf(endpoint.coldFor_));
     return entry;
@@ -287,7 +287,7 @@
     endpoint.model_ = idAt<ModelName>(entry, ModelPart);
     for (const auto &model : entry.at(StagedPart).as_array())
         endpoint.staged_.emplace_back(textOf(model.as_string()));
-    endpoint.bornAt_ = numberAt<std::uint64_t>(entry, BornPart);
+    endpoint.startedAt_ = numberAt<std::uint64_t>(entry, BornPart);
     if (entry.size() == ColdEntryParts)
         endpoint.coldFor_ = std::chrono::microseconds(
             std::min(numberAt<std::uint64_t>(entry, ColdPart), maxColdMicroseconds));
--- a/src/serving/peer_info_json.hpp
+++ b/src/serving/peer_info_json.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Entry VMs with their addresses, as messages between entry VMs hold them.
+/// \brief JSON encoding of entry VMs and their addresses in messages between entry VMs.
 #pragma once
 
 #include <cardamombay/serving/peer_digests.hpp>
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -61,7 +61,7 @@
 /// Maximum number of records, about 200 bytes each, 1 MB in total.
 constexpr std::size_t maxRecords = 4096;
 
-std::size_t weightOf(const std::map<EndpointLife, bool> &crashes)
+std::size_t weightOf(const std::map<EndpointIncarnation, bool> &crashes)
 {
     std::size_t result = 0;
     for (const auto &[endpoint, hadEvents] : crashes)
@@ -87,12 +87,12 @@
 
 } // namespace
 
-bool PoisonNews::isEmpty() const
+bool PoisonUpdate::isEmpty() const
 {
     return crashes_.empty() && verdicts_.empty() && cleared_.empty();
 }
 
-void mergeNews(PoisonNews &into, const PoisonNews &from)
+void mergeUpdates(PoisonUpdate &into, const PoisonUpdate &from)
 {
     for (const auto &[endpoint, requests] : from.crashes_) {
         auto &known = into.crashes_[endpoint];
@@ -139,7 +139,7 @@
         ownCleared_.push_back({request, now});
 }
 
-void PoisonPills::recordCrash(const EndpointLife &endpoint, const RequestAtCrash &request,
+void PoisonPills::recordCrash(const EndpointIncarnation &endpoint, const RequestAtCrash &request,
                               TimePoint now)
 {
     if (wasRecentlyServed(request.fingerprint_, now)) {
@@ -206,7 +206,7 @@
     return true;
 }
 
-void PoisonPills::take(const PoisonNews &news, TimePoint now)
+void PoisonPills::take(const PoisonUpdate &news, TimePoint now)
 {
     for (const auto &[endpoint, requests] : news.crashes_) {
         for (const auto &request : requests)
@@ -298,10 +298,10 @@
     return found != records_.end() && !found->second.crashes_.empty();
 }
 
-std::map<RequestFingerprint, std::vector<EndpointLife>>
+std::map<RequestFingerprint, std::vector<EndpointIncarnation>>
 PoisonPills::quarantined(TimePoint now) const
 {
-    std::map<RequestFingerprint, std::vector<EndpointLife>> result;
+    std::map<RequestFingerprint, std::vector<EndpointIncarnation>> result;
     for (const auto &[request, record] : records_) {
         if (now >= record.quarantinedUntil_)
             continue;
@@ -312,9 +312,9 @@
     return result;
 }
 
-PoisonNews PoisonPills::news(TimePoint now)
+PoisonUpdate PoisonPills::news(TimePoint now)
 {
-    PoisonNews result;
+    PoisonUpdate result;
     for (const auto &crash : ownCrashes_) {
         if (now - crash.at_ <= announcementPeriod)
             result.crashes_[crash.value_.endpoint_].insert(
--- a/src/serving/poison_news.cpp
+++ b/src/serving/poison_updates.cpp
@@ -1,4 +1,4 @@
-#include "serving/poison_news.hpp"
+#include "serving/poison_updates.hpp"
 
 #include "serving/notification.hpp"
 
@@ -37,7 +37,7 @@
     return result;
 }
 
-void readCrashes(const json::value *value, PoisonNews &news)
+void readCrashes(const json::value *value, PoisonUpdate &news)
 {
     const auto *crashes = value == nullptr ? nullptr : value->if_object();
     if (crashes == nullptr)
@@ -46,7 +46,7 @@
         const auto *lists = member.value().if_array();
         if (lists == nullptr || lists->size() != 2)
             continue;
-        auto &requests = news.crashes_[EndpointLife::parse(
+        auto &requests = news.crashes_[EndpointIncarnation::parse(
             std::string_view(member.key().data(), member.key().size()))];
         for (const auto &request : fingerprintsIn(&lists->at(0)))
             requests.push_back({request, false});
@@ -55,7 +55,7 @@
     }
 }
 
-void readVerdicts(const json::value *value, PoisonNews &news)
+void readVerdicts(const json::value *value, PoisonUpdate &news)
 {
     const auto *verdicts = value == nullptr ? nullptr : value->if_object();
     if (verdicts == nullptr)
@@ -74,7 +74,7 @@
 
 } // namespace
 
-json::object poisonObject(const PoisonNews &news)
+json::object poisonObject(const PoisonUpdate &news)
 {
     json::object crashes;
     for (const auto &[endpoint, requests] : news.crashes_)
@@ -90,9 +90,9 @@
             {"cleared", std::move(cleared)}};
 }
 
-PoisonNews poisonIn(const json::value *value)
+PoisonUpdate poisonIn(const json::value *value)
 {
-    PoisonNews result;
+    PoisonUpdate result;
     const auto *object = value == nullptr ? nullptr : value->if_object();
     if (object == nullptr)
         return result;
--- a/src/serving/poison_news.hpp
+++ b/src/serving/poison_updates.hpp
@@ -8,10 +8,10 @@
 
 namespace cardamombay::serving::impl {
 
-[[nodiscard]] boost::json::object poisonObject(const PoisonNews &news);
+[[nodiscard]] boost::json::object poisonObject(const PoisonUpdate &news);
 
 /// \brief Parses PoisonNews and skips malformed parts; the next digest repeats them.
 /// \param value null if the digest contains no PoisonNews.
-[[nodiscard]] PoisonNews poisonIn(const boost::json::value *value);
+[[nodiscard]] PoisonUpdate poisonIn(const boost::json::value *value);
 
 } // namespace cardamombay::serving::impl
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -86,13 +86,13 @@
 /// slowly enough to be covered by maxPlanInterval.
 bool ReplicaManager::isDue(TimePoint now)
 {
-    const bool hasChanged = parts_.book_.revision() != plannedRevision_ || hadOrders_
+    const bool hasChanged = parts_.endpointRegistry_.revision() != plannedRevision_ || hadOrders_
                             || !pending_.empty() || !unansweredQueries_.empty()
-                            || !parts_.board_.silentEverywhere(now).empty();
+                            || !parts_.loadTracker_.stalledEverywhere(now).empty();
     if (!hasChanged && now - plannedAt_ < maxPlanInterval)
         return false;
     plannedAt_ = now;
-    plannedRevision_ = parts_.book_.revision();
+    plannedRevision_ = parts_.endpointRegistry_.revision();
     hadOrders_ = false;
     return true;
 }
@@ -100,21 +100,21 @@
 void ReplicaManager::expire(TimePoint now, TimePoint listedAsOf)
 {
     const auto ended = std::erase_if(pending_, [this, listedAsOf](const auto &entry) {
-        const auto *engine = parts_.book_.find(entry.first);
+        const auto *engine = parts_.endpointRegistry_.find(entry.first);
         return listedAsOf >= entry.second.until_ || engine == nullptr
                || *engine != entry.second.before_;
     });
     hadOrders_ = hadOrders_ || ended > 0;
     const auto isGoneOrRestarted = [this](const VmId &id, std::uint64_t bornAt) {
-        const auto *engine = parts_.book_.find(id);
-        return engine == nullptr || engine->bornAt_ != bornAt;
+        const auto *engine = parts_.endpointRegistry_.find(id);
+        return engine == nullptr || engine->startedAt_ != bornAt;
     };
     std::erase_if(unansweredQueries_, [&](const auto &entry) {
-        return isGoneOrRestarted(entry.first, entry.second.bornAt_);
+        return isGoneOrRestarted(entry.first, entry.second.startedAt_);
     });
     std::erase_if(loads_, [&](const auto &entry) {
-        const auto *engine = parts_.book_.find(entry.first);
-        const bool isDone = isGoneOrRestarted(entry.first, entry.second.bornAt_)
+        const auto *engine = parts_.endpointRegistry_.find(entry.first);
+        const bool isDone = isGoneOrRestarted(entry.first, entry.second.startedAt_)
                             || engine->hasStaged(entry.second.model_);
         return isDone || now >= entry.second.until_;
     });
@@ -131,7 +131,7 @@
         if (!order.group_.isEmpty())
             input.joining_.emplace(engine, order.group_);
     }
-    const auto silent = parts_.board_.silentEverywhere(parts_.clock_.now());
+    const auto silent = parts_.loadTracker_.stalledEverywhere(parts_.clock_.now());
     input.stalledHeads_.insert(silent.begin(), silent.end());
     for (const auto &[engine, unansweredQueries] : unansweredQueries_)
         input.unresponsive_.insert(engine);
@@ -152,7 +152,7 @@
 
 void ReplicaManager::planService(const Service &service)
 {
-    const auto engines = plannableEngines(parts_.book_.ofService(service.name_));
+    const auto engines = plannableEngines(parts_.endpointRegistry_.ofService(service.name_));
     auto &serviceState = serviceStates_[service.name_];
     if (isFirstStart_ && !isListingSettled(serviceState, engines.size()))
         return;
@@ -174,14 +174,14 @@
 {
     std::set<GroupName> serving;
     for (const auto *engine : engines) {
-        if (engine->membership_ && !parts_.book_.isEvacuated(*engine))
+        if (engine->membership_ && !parts_.endpointRegistry_.isEvacuated(*engine))
             serving.insert(engine->membership_->group_);
     }
     std::vector<const Endpoint *> result;
     for (const auto *engine : engines) {
         const bool isOfServing
             = engine->membership_ && serving.contains(engine->membership_->group_);
-        if (isOfServing || !parts_.book_.isEvacuated(*engine))
+        if (isOfServing || !parts_.endpointRegistry_.isEvacuated(*engine))
             result.push_back(engine);
     }
     return result;
@@ -252,7 +252,7 @@
 void ReplicaManager::queryStalledGroups(const std::vector<const Endpoint *> &engines)
 {
     const auto now = parts_.clock_.now();
-    const auto silent = parts_.board_.silentEverywhere(now);
+    const auto silent = parts_.loadTracker_.stalledEverywhere(now);
     for (const auto &group : groupsOf(engines)) {
         const bool isStalled
             = group.head_ != nullptr
@@ -294,7 +294,7 @@
 {
     ++stateQueries_[group].pendingAnswers_;
     parts_.orders_.state(member, [this, alive = std::weak_ptr(isAlive_), group, id = member.id_,
-                                  bornAt = member.bornAt_](const Result<Endpoint> &answer) {
+                                  bornAt = member.startedAt_](const Result<Endpoint> &answer) {
         if (!alive.expired())
             onStateAnswer(group, id, bornAt, answer);
     });
@@ -309,13 +309,13 @@
     // The engine answered this entry VM only moments ago.
     if (isError<EndpointCoolingDown>(answer))
         return;
-    const bool isRestarted = isOk(answer) && valueOf(answer).bornAt_ > bornAt;
+    const bool isRestarted = isOk(answer) && valueOf(answer).startedAt_ > bornAt;
     if (isOk(answer) && !isRestarted) {
         unansweredQueries_.erase(member);
         return;
     }
     auto &unansweredQueries = unansweredQueries_[member];
-    unansweredQueries.bornAt_ = bornAt;
+    unansweredQueries.startedAt_ = bornAt;
     ++unansweredQueries.count_;
     const auto problem = isRestarted ? "engine has restarted" : messageOf(errorOf(answer));
     log::info(event::engineSilent,
@@ -328,7 +328,7 @@
 
 void ReplicaManager::send(const PlannedOrder &planned, const EngineProfile &profile)
 {
-    const auto *engine = parts_.book_.find(planned.engine_);
+    const auto *engine = parts_.endpointRegistry_.find(planned.engine_);
     if (engine == nullptr || !parts_.lease_.isHeldFor(orderMargin))
         return;
     const auto now = parts_.clock_.now();
@@ -340,7 +340,7 @@
         const auto model = modelLoadedBy(planned.order_);
         const auto alone = loadTimeOf(profile, model);
         loads_[planned.engine_]
-            = {now + (isFirstStart_ ? alone / 5 : alone * 3 / 2), model, engine->bornAt_};
+            = {now + (isFirstStart_ ? alone / 5 : alone * 3 / 2), model, engine->startedAt_};
     }
     log::info(event::orderSent, {{"engine", planned.engine_.text()},
                                  {"order", std::string(nameOf(planned.order_))},
@@ -367,10 +367,10 @@
     log::info(event::orderAnswered,
               {{"engine", engine.text()}, {"order", std::string(nameOf(order))}, {"answer", text}});
     // A head that cannot be told to leave counts as lost, so that its members are told to leave.
-    const auto *listed = parts_.book_.find(engine);
+    const auto *listed = parts_.endpointRegistry_.find(engine);
     if (!isOk(answer) && std::holds_alternative<LeaveOrder>(order) && listed != nullptr) {
         auto &unansweredQueries = unansweredQueries_[engine];
-        unansweredQueries.bornAt_ = listed->bornAt_;
+        unansweredQueries.startedAt_ = listed->startedAt_;
         ++unansweredQueries.count_;
     }
 }
--- a/src/serving/session.cpp
+++ b/src/serving/session.cpp
@@ -81,7 +81,7 @@
     // A started request loses more by giving up, and another endpoint may become available.
     const bool hasBegun = events_ > 0 || possibleRuns_ > 0;
     if (const auto *later = std::get_if<NoEndpointInTime>(&choice); later != nullptr && !hasBegun) {
-        retryAfter_ = later->comeBackIn_;
+        retryAfter_ = later->retryAfter_;
         giveUp(later->reason_);
         return false;
     }
@@ -107,19 +107,19 @@
 
 Choice Session::choose(TimePoint now)
 {
-    Demand demand;
+    RoutingRequest demand;
     demand.service_ = service_;
     demand.model_ = head_.model_;
     demand.tried_ = tried_;
     demand.regions_ = regions_;
     demand.promptTokens_ = head_.promptTokens_;
     demand.latencyGoal_ = route_->latencyGoal_;
-    demand.isHeld_ = wasHeld_;
-    demand.hasBegun_ = events_ > 0;
+    demand.wasQueued_ = wasHeld_;
+    demand.hasPartialAnswer_ = events_ > 0;
     if (gateway_.poisonPills().isSuspect(fingerprint_))
         demand.suspect_ = fingerprint_;
     demand.gate_ = &gateway_.gate();
-    demand.longestWait_ = holdLeft(now);
+    demand.maxWait_ = holdLeft(now);
     if (reservation_ && reservation_->isOpen(now))
         demand.reserved_ = reservation_->endpoint();
     return gateway_.parts().balancer_.choose(demand, now);
@@ -208,11 +208,11 @@
     target_ = target;
     viewAge_ = now - gateway_.endpointsConfirmedAt();
     gateway_.parts().metrics_.endpointsAge_.observe(toSeconds(viewAge_));
-    isReserved_ = reservation_ && reservation_->endpoint() == target.life();
+    isReserved_ = reservation_ && reservation_->endpoint() == target.incarnation();
     if (isReserved_)
         reservation_->use();
     reservation_.reset();
-    limit_ = gateway_.limits().find(target.life());
+    limit_ = gateway_.limits().find(target.incarnation());
     if (limit_)
         gateway_.parts().metrics_.limitedSends_.increment();
     tried_.push_back(target.endpoint_);
@@ -234,7 +234,8 @@
     upstream.body_ = request_.body_;
     upstream.connectTimeout_ = std::min(connectTimeout, timeLeft(now));
     upstream.longestIdle_ = isSafeToRetry() ? maxIdleSafeToRetry : maxIdleUnsafeToRetry;
-    gateway_.parts().board_.started(target.endpoint_, service_->engine_ ? prefillTokens() : 0, now);
+    gateway_.parts().loadTracker_.started(target.endpoint_, service_->engine_ ? prefillTokens() : 0,
+                                          now);
     call_ = gateway_.parts().upstream_.start(std::move(upstream), *this);
 }
 
@@ -243,7 +244,7 @@
     if (!call_)
         return;
     call_.reset();
-    gateway_.parts().board_.ended(target_.endpoint_);
+    gateway_.parts().loadTracker_.ended(target_.endpoint_);
 }
 
 /// The endpoint was chosen before the connection was established, and the process may have been
@@ -251,22 +252,22 @@
 bool Session::onConnected()
 {
     const auto now = gateway_.parts().clock_.now();
-    switch (gateway_.gate().lastLook(target_.life(), isReserved_, now)) {
-    case LastLook::Leaving:
+    switch (gateway_.gate().checkSend(target_.incarnation(), isReserved_, now)) {
+    case SendDecision::Leaving:
         attemptFailed(Failure::NotSent, "the endpoint leaves");
         return false;
-    case LastLook::Evacuated:
+    case SendDecision::Evacuated:
         attemptFailed(Failure::NotSent, "the endpoint's availability zone is evacuated");
         return false;
-    case LastLook::Cooldown:
+    case SendDecision::Cooldown:
         tried_.pop_back();
         attemptFailed(Failure::NotSent, "the endpoint asks to be left alone");
         return false;
-    case LastLook::Limited:
+    case SendDecision::Limited:
         tried_.pop_back();
         attemptFailed(Failure::NotSent, "the endpoint takes few requests, and none is reserved");
         return false;
-    case LastLook::Send:
+    case SendDecision::Send:
         break;
     }
     isConnected_ = true;
@@ -278,7 +279,7 @@
 {
     const auto now = gateway_.parts().clock_.now();
     if (!failure.mayHaveLeft_)
-        gateway_.parts().board_.failed(target_.endpoint_, now);
+        gateway_.parts().loadTracker_.failed(target_.endpoint_, now);
     else if (!failure.isTimeout_)
         reportBrokenAttempt();
     attemptFailed(failure.mayHaveLeft_ ? Failure::Unknown : Failure::NotSent, failure.detail_);
@@ -331,17 +332,17 @@
     const auto silent = now - progressAt_;
     if (!service_->engine_)
         return phase_ == Phase::Waiting && silent > plainStallGoals * route_->latencyGoal_;
-    if (target_.patience_ == Duration::zero() || silent <= target_.patience_)
+    if (target_.stallTimeout_ == Duration::zero() || silent <= target_.stallTimeout_)
         return false;
     // If the endpoint only delays this request, others there make progress; on a stalled group none
     // do.
     const auto firstEventPatience = fromSeconds(toSeconds(callerPatience()) * firstEventShare);
-    const auto heard = now - gateway_.parts().board_.heardAt(target_.endpoint_);
-    if (heard <= target_.patience_)
+    const auto heard = now - gateway_.parts().loadTracker_.lastProgressAt(target_.endpoint_);
+    if (heard <= target_.stallTimeout_)
         return !hasProgress_ && silent > firstEventPatience;
     if (hasProgress_ || silent > firstEventPatience)
         return true;
-    return !gateway_.parts().board_.isUsable(target_.endpoint_, now);
+    return !gateway_.parts().loadTracker_.isUsable(target_.endpoint_, now);
 }
 
 void Session::check(TimePoint now)
@@ -364,14 +365,14 @@
         giveUp("no room in time");
         return;
     }
-    if (const auto reason = isHeld_ ? unservableReason(now) : std::nullopt) {
+    if (const auto reason = isHeld_ ? rejectionReason(now) : std::nullopt) {
         isHeld_ = false;
         giveUp(*reason);
         return;
     }
     if (!call_ || !isStalled(now))
         return;
-    gateway_.parts().board_.stalled(target_.endpoint_, now);
+    gateway_.parts().loadTracker_.stalled(target_.endpoint_, now);
     if (moveToOtherEndpoint("the endpoint is silent", now))
         gateway_.parts().metrics_.stalls_.increment();
 }
--- a/src/serving/session.hpp
+++ b/src/serving/session.hpp
@@ -12,7 +12,7 @@
 #include <cardamombay/serving/endpoint_gate.hpp>
 #include <cardamombay/serving/endpoint_limits.hpp>
 #include <cardamombay/serving/poison_pills.hpp>
-#include <cardamombay/serving/reservation_desk.hpp>
+#include <cardamombay/serving/reservation_coordinator.hpp>
 
 #include <memory>
 #include <optional>
@@ -93,7 +93,7 @@
     void begin();
     [[nodiscard]] bool admit();
     [[nodiscard]] bool isStartupWaitOver(TimePoint now) const;
-    [[nodiscard]] std::optional<std::string_view> unservableReason(TimePoint now) const;
+    [[nodiscard]] std::optional<std::string_view> rejectionReason(TimePoint now) const;
     [[nodiscard]] bool refuseQuarantined();
     void refuse(std::uint32_t status, std::string_view reason, std::optional<Duration> retryAfter);
     /// \}
--- a/src/serving/session_admission.cpp
+++ b/src/serving/session_admission.cpp
@@ -98,7 +98,7 @@
         = fingerprintOf({request_.method_, head_.host_, request_.target_, team_, request_.body_});
     if (refuseQuarantined())
         return false;
-    if (const auto reason = unservableReason(gateway_.parts().clock_.now())) {
+    if (const auto reason = rejectionReason(gateway_.parts().clock_.now())) {
         refuse(statusUnavailable, *reason, std::nullopt);
         return false;
     }
@@ -142,9 +142,9 @@
 
 /// Reason why no group can serve the request even if capacity becomes free; std::nullopt if one
 /// can.
-std::optional<std::string_view> Session::unservableReason(TimePoint now) const
+std::optional<std::string_view> Session::rejectionReason(TimePoint now) const
 {
-    return whyNotServable(*service_, {head_.model_, head_.promptTokens_, timeLeft(now)});
+    return unservableReason(*service_, {head_.model_, head_.promptTokens_, timeLeft(now)});
 }
 
 } // namespace cardamombay::serving
--- a/src/serving/session_answer.cpp
+++ b/src/serving/session_answer.cpp
@@ -60,8 +60,8 @@
 /// An endpoint that states a cooldown has not run the request and may be chosen again after it.
 void Session::recordRefusal(bool isWrongPlace, TimePoint now)
 {
-    gateway_.parts().board_.failed(target_.endpoint_, now);
-    if (!isWrongPlace && gateway_.notices().cooldown(target_.life(), now))
+    gateway_.parts().loadTracker_.failed(target_.endpoint_, now);
+    if (!isWrongPlace && gateway_.notices().cooldown(target_.incarnation(), now))
         tried_.pop_back();
 }
 
@@ -69,7 +69,7 @@
 /// other endpoints too.
 void Session::recordAnswerStatus(std::uint32_t status, TimePoint now)
 {
-    auto &board = gateway_.parts().board_;
+    auto &board = gateway_.parts().loadTracker_;
     if (status < minServerError) {
         board.progressed(target_.endpoint_, now);
         return;
@@ -78,7 +78,8 @@
     if (!gateway_.blamesEndpoint(fingerprint_, target_.endpoint_))
         return;
     board.erred(target_.endpoint_,
-                service_->engine_ ? LoadBoard::groupErrorWeight : LoadBoard::plainErrorWeight, now);
+                service_->engine_ ? LoadTracker::groupErrorWeight : LoadTracker::plainErrorWeight,
+                now);
 }
 
 void Session::takeStreamHead(const net::HttpResponse &head)
@@ -93,7 +94,7 @@
 {
     const auto now = gateway_.parts().clock_.now();
     if (answer_.status_ < minServerError)
-        gateway_.parts().board_.progressed(target_.endpoint_, now);
+        gateway_.parts().loadTracker_.progressed(target_.endpoint_, now);
     if (phase_ == Phase::Buffered) {
         recordProgress(now);
         answer_.body_.append(data);
@@ -171,7 +172,7 @@
 
 void Session::onEnd(std::string_view rest)
 {
-    auto &board = gateway_.parts().board_;
+    auto &board = gateway_.parts().loadTracker_;
     if (answer_.status_ < minServerError) {
         board.progressed(target_.endpoint_, gateway_.parts().clock_.now());
         board.succeeded(target_.endpoint_);
--- a/src/serving/session_limits.cpp
+++ b/src/serving/session_limits.cpp
@@ -36,7 +36,7 @@
 /// VMs.
 void Session::dropUnusableReservation(TimePoint now)
 {
-    if (reservation_ && gateway_.gate().bar(reservation_->endpoint(), now))
+    if (reservation_ && gateway_.gate().sendBlock(reservation_->endpoint(), now))
         reservation_.reset();
 }
 
@@ -45,8 +45,8 @@
 void Session::recordNotices(const EndpointResponseHead &answer, TimePoint now)
 {
     if (!answer.isMisdirected_)
-        gateway_.notices().take({target_.life(), attemptAt_, answer.isRefused_}, answer.notices_,
-                                now);
+        gateway_.notices().take({target_.incarnation(), attemptAt_, answer.isRefused_},
+                                answer.notices_, now);
 }
 
 } // namespace cardamombay::serving
--- a/tests/crashing_requests/failing.cpp
+++ b/tests/crashing_requests/failing.cpp
@@ -60,5 +60,5 @@
     fixture.addGroup("head-1");
     (void)fixture.ask("/stream/1");
     failCalls(fixture, "/stream/1");
-    cr_assert_not(fixture.board_.isUsable(VmId("head-1"), fixture.clock_.now()));
+    cr_assert_not(fixture.loadTracker_.isUsable(VmId("head-1"), fixture.clock_.now()));
 }
--- a/tests/crashing_requests/regressions.cpp
+++ b/tests/crashing_requests/regressions.cpp
@@ -82,7 +82,7 @@
     for (int i = 0; i < 10; ++i) {
         (void)fixture.ask("/stream/crash");
         reached += crashCalls(fixture.upstream_, "/stream/crash", [&](const std::string &endpoint) {
-            fixture.book_.remove(VmId(endpoint), fixture.clock_.now());
+            fixture.endpointRegistry_.remove(VmId(endpoint), fixture.clock_.now());
         });
         fixture.pass(milliseconds(300));
     }
--- a/tests/restored_store/regressions.cpp
+++ b/tests/restored_store/regressions.cpp
@@ -40,7 +40,7 @@
     [[nodiscard]] bool isUnused(const std::string &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *entry = fleet_.node(i).book_.find(VmId(endpoint));
+            const auto *entry = fleet_.node(i).endpointRegistry_.find(VmId(endpoint));
             if (entry != nullptr && !entry->isDraining_)
                 return false;
         }
@@ -51,7 +51,7 @@
     [[nodiscard]] bool isUsed(const std::string &endpoint)
     {
         for (std::size_t i = 0; i < fleet_.size(); ++i) {
-            const auto *entry = fleet_.node(i).book_.find(VmId(endpoint));
+            const auto *entry = fleet_.node(i).endpointRegistry_.find(VmId(endpoint));
             if (entry == nullptr || entry->isDraining_)
                 return false;
         }
--- a/tests/serving/digests.cpp
+++ b/tests/serving/digests.cpp
@@ -1,7 +1,7 @@
 // Collecting digests in a large fleet: selection of reporters, contents of sums, change history.
 #include <cardamombay/serving/change_history.hpp>
 #include <cardamombay/serving/digest_hub.hpp>
-#include <cardamombay/serving/load_board.hpp>
+#include <cardamombay/serving/load_tracker.hpp>
 #include <cardamombay/serving/reporters.hpp>
 
 #include <algorithm>
--- a/tests/serving/poison_pills.cpp
+++ b/tests/serving/poison_pills.cpp
@@ -19,7 +19,7 @@
 const RequestFingerprint pill(7);
 const RequestFingerprint other(8);
 
-EndpointLife engine(int number, std::uint64_t bornAt = 1)
+EndpointIncarnation engine(int number, std::uint64_t bornAt = 1)
 {
     return {VmId("e-" + std::to_string(number)), bornAt};
 }
@@ -31,9 +31,9 @@
         pills.endpointCrashed({engine(number), {{pill, hadEvents}}}, now);
 }
 
-PoisonNews newsOf(const EndpointCrash &crash)
+PoisonUpdate newsOf(const EndpointCrash &crash)
 {
-    PoisonNews news;
+    PoisonUpdate news;
     news.crashes_[crash.endpoint_] = crash.requests_;
     return news;
 }
@@ -274,8 +274,8 @@
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         Random random(seed);
         std::vector<PoisonPills> fleet(5);
-        std::vector<std::pair<TimePoint, PoisonNews>> onTheWay;
-        std::map<RequestFingerprint, std::set<EndpointLife>> ends;
+        std::vector<std::pair<TimePoint, PoisonUpdate>> onTheWay;
+        std::map<RequestFingerprint, std::set<EndpointIncarnation>> ends;
         auto now = start;
         const auto check = [&] {
             for (const auto &one : fleet) {
--- a/tests/serving/quarantined_sessions.cpp
+++ b/tests/serving/quarantined_sessions.cpp
@@ -23,7 +23,7 @@
 /// Reports the crash of three endpoints during the request, as seen by other entry VMs.
 void quarantine(GatewayFixture &fixture)
 {
-    PoisonNews news;
+    PoisonUpdate news;
     for (int i = 0; i < 3; ++i)
         news.crashes_[{VmId("gone-" + std::to_string(i)), 1}] = {{fingerprint(), false}};
     fixture.gateway_.takePoisonNews(news);
@@ -114,9 +114,9 @@
     GatewayFixture fixture;
     std::size_t sends = 0;
     for (int i = 0; i < 8; ++i) {
-        auto again = *fixture.book_.find(VmId("p-0"));
-        again.bornAt_ = static_cast<std::uint64_t>(i + 1);
-        fixture.book_.put(again);
+        auto again = *fixture.endpointRegistry_.find(VmId("p-0"));
+        again.startedAt_ = static_cast<std::uint64_t>(i + 1);
+        fixture.endpointRegistry_.put(again);
         const auto before = fixture.upstream_.calls_.size();
         (void)fixture.ask("/once/7");
         for (std::size_t call = before; call < fixture.upstream_.calls_.size(); ++call) {
@@ -139,7 +139,7 @@
         GatewayFixture fixture;
         for (int i = 0; i < 8; ++i)
             fixture.addGroup("head-" + std::to_string(i));
-        PoisonNews news;
+        PoisonUpdate news;
         news.crashes_[{VmId("gone"), 1}] = {{fingerprint(), false}};
         fixture.gateway_.takePoisonNews(news);
         // Each entry VM has a different load.
--- a/tests/serving/replica_manager.cpp
+++ b/tests/serving/replica_manager.cpp
@@ -46,8 +46,8 @@
 {
     Bench()
     {
-        book_.put(spareEngine("a", "d", "m"));
-        book_.put(spareEngine("b", "d", "m"));
+        endpointRegistry_.put(spareEngine("a", "d", "m"));
+        endpointRegistry_.put(spareEngine("b", "d", "m"));
         lease_.setCandidateRank(0);
         lease_.start();
         while (!lease_.isHeldFor(seconds(5)))
@@ -72,9 +72,9 @@
                                FabricDomain("fleet"),
                                program()};
     SilentOrders orders_;
-    EndpointBook book_;
-    LoadBoard board_;
-    ReplicaManager manager_{{clock_, lease_, orders_, book_, board_}};
+    EndpointRegistry endpointRegistry_;
+    LoadTracker loadTracker_;
+    ReplicaManager manager_{{clock_, lease_, orders_, endpointRegistry_, loadTracker_}};
     RouteTable routes_{gatewayConfiguration()};
 };
 
@@ -96,18 +96,18 @@
 Test(replica_manager, shorter_cold_time_in_an_entry_is_not_an_effect_of_an_order)
 {
     Bench bench;
-    auto engine = *bench.book_.find(VmId("a"));
+    auto engine = *bench.endpointRegistry_.find(VmId("a"));
     engine.coldFor_ = seconds(3);
-    bench.book_.put(engine);
-    const auto revision = bench.book_.revision();
+    bench.endpointRegistry_.put(engine);
+    const auto revision = bench.endpointRegistry_.revision();
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.sent_.size(), 2);
     engine.coldFor_ = seconds(2);
-    bench.book_.put(engine);
+    bench.endpointRegistry_.put(engine);
     bench.clock_.advance(milliseconds(100));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.sent_.size(), 2);
-    cr_assert_eq(bench.book_.revision(), revision);
+    cr_assert_eq(bench.endpointRegistry_.revision(), revision);
 }
 
 Test(replica_manager, stale_list_of_engines_is_not_planned_on)
@@ -121,14 +121,14 @@
 {
     Bench bench;
     for (const auto *id : {"a", "b"}) {
-        auto engine = *bench.book_.find(VmId(id));
+        auto engine = *bench.endpointRegistry_.find(VmId(id));
         engine.zone_ = AvailabilityZone("z");
-        bench.book_.put(engine);
+        bench.endpointRegistry_.put(engine);
     }
-    bench.book_.setEvacuated({AvailabilityZone("z")});
+    bench.endpointRegistry_.setEvacuated({AvailabilityZone("z")});
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert(bench.orders_.sent_.empty());
-    bench.book_.setEvacuated({});
+    bench.endpointRegistry_.setEvacuated({});
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.sent_.size(), 2);
 }
@@ -139,7 +139,7 @@
     bench.manager_.setFirstStart();
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     bench.clock_.advance(milliseconds(400));
-    bench.book_.put(spareEngine("c", "d"));
+    bench.endpointRegistry_.put(spareEngine("c", "d"));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     bench.clock_.advance(milliseconds(400));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
@@ -156,11 +156,12 @@
     profile.services_.front().engine_->models_[1].members_ = 1;
     const RouteTable routes(profile);
     for (const auto *id : {"a", "b"})
-        bench.book_.put(engineIn(id, "d", GroupName("m.1"), 1, id[0] == 'a' ? 0 : 1,
-                                 id[0] == 'a' ? MemberState::Open : MemberState::Ready));
+        bench.endpointRegistry_.put(
+            engineIn(id, "d", GroupName("m.1"), 1, id[0] == 'a' ? 0 : 1,
+                     id[0] == 'a' ? MemberState::Open : MemberState::Ready));
     auto smallGroup = engineIn("n", "d", GroupName("n.2"), 2, 0, MemberState::Open);
     smallGroup.staged_ = {ModelName("n")};
-    bench.book_.put(smallGroup);
+    bench.endpointRegistry_.put(smallGroup);
     for (int i = 0; i < 10; ++i) {
         bench.manager_.tick(routes, bench.clock_.now());
         bench.clock_.advance(seconds(1));
@@ -176,8 +177,8 @@
     const auto before = bench.orders_.sent_.size();
     cr_assert_gt(before, 0);
     auto restarted = spareEngine("a", "d", "m");
-    restarted.bornAt_ = 7;
-    bench.book_.put(restarted);
+    restarted.startedAt_ = 7;
+    bench.endpointRegistry_.put(restarted);
     bench.clock_.advance(milliseconds(10));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     const auto &[engine, order] = bench.orders_.sent_.back();
@@ -188,16 +189,16 @@
 Test(replica_manager, unresponsive_engine_is_queried_again_after_it_has_left_its_group)
 {
     Bench bench;
-    bench.book_.put(engineIn("a", "d", GroupName("m.1"), 1, 0, MemberState::Open));
-    bench.book_.put(engineIn("b", "d", GroupName("m.1"), 1, 1, MemberState::Ready));
-    bench.board_.started(VmId("a"), 10, bench.clock_.now());
-    bench.board_.stalled(VmId("a"), bench.clock_.now());
+    bench.endpointRegistry_.put(engineIn("a", "d", GroupName("m.1"), 1, 0, MemberState::Open));
+    bench.endpointRegistry_.put(engineIn("b", "d", GroupName("m.1"), 1, 1, MemberState::Ready));
+    bench.loadTracker_.started(VmId("a"), 10, bench.clock_.now());
+    bench.loadTracker_.stalled(VmId("a"), bench.clock_.now());
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert_eq(bench.orders_.stateQueries_.size(), 2);
     for (const auto &[engine, done] : std::exchange(bench.orders_.stateQueries_, {}))
         done(Error(TimedOut{"question", milliseconds(150)}));
     for (const auto *id : {"a", "b"})
-        bench.book_.put(spareEngine(id, "d", "m"));
+        bench.endpointRegistry_.put(spareEngine(id, "d", "m"));
     bench.clock_.advance(seconds(3));
     bench.manager_.tick(bench.routes_, bench.clock_.now());
     cr_assert(bench.orders_.sent_.empty());
@@ -218,11 +219,11 @@
     second.name_ = ServiceName("more-engines");
     configuration.services_.push_back(second);
     const RouteTable routes(configuration);
-    bench.book_.put(loadedIn("a", "d"));
-    bench.book_.put(loadedIn("b", "e"));
+    bench.endpointRegistry_.put(loadedIn("a", "d"));
+    bench.endpointRegistry_.put(loadedIn("b", "e"));
     auto other = loadedIn("c", "d");
     other.service_ = second.name_;
-    bench.book_.put(other);
+    bench.endpointRegistry_.put(other);
     for (int step = 0; step < 40 && bench.orders_.sent_.empty(); ++step) {
         bench.manager_.tick(routes, bench.clock_.now());
         bench.clock_.advance(milliseconds(100));
--- a/tests/serving/sessions.cpp
+++ b/tests/serving/sessions.cpp
@@ -90,7 +90,7 @@
     const auto caller = fixture.ask("/again/7");
     for (const auto *other : {"p-0", "p-1"}) {
         if (fixture.lastCall()->field("endpoint") != other)
-            fixture.book_.remove(VmId(other), fixture.clock_.now());
+            fixture.endpointRegistry_.remove(VmId(other), fixture.clock_.now());
     }
     fixture.lastCall()->connect();
     fixture.lastCall()->head(500, {{"seal", "s"}});
@@ -282,7 +282,7 @@
 {
     GatewayFixture fixture;
     for (const auto *endpoint : {"p-0", "p-1"})
-        fixture.board_.failed(VmId(endpoint), fixture.clock_.now());
+        fixture.loadTracker_.failed(VmId(endpoint), fixture.clock_.now());
     fixture.ask("/once/7");
     cr_assert_eq(fixture.upstream_.calls_.size(), 1);
 }
