--- a/include/cardamombay/serving/balancer.hpp
+++ b/include/cardamombay/serving/balancer.hpp
@@ -29,7 +29,7 @@
     std::span<const VmId> tried_; ///< Endpoints to exclude: earlier attempts went there.
     RequestRegions regions_;
     std::size_t promptTokens_ = 0;
-    Duration latencyGoal_{};               ///< Target for the time to the first event.
+    Duration latencyGoal_{};        ///< Target for the time to the first event.
     bool wasQueued_ = false;        ///< It has waited in this entry VM's queue and is already late.
     bool hasPartialAnswer_ = false; ///< Its caller has already received part of the answer.
     /// Set if endpoints have crashed while serving it. All entry VMs send a suspect request to the
@@ -165,7 +165,8 @@
     Random random_;
     std::map<AvailabilityZone, RegionName> regions_;
     std::map<ServiceName, CandidateCache> candidateCaches_;
-    std::map<ServiceName, double> meanPromptTokens_; ///< Moving average of prompt sizes in tokens.
+    std::map<ServiceName, double>
+        observedPromptTokens_; ///< Moving average of prompt sizes in tokens.
 };
 
 } // namespace cardamombay::serving
--- a/include/cardamombay/serving/peer_digests.hpp
+++ b/include/cardamombay/serving/peer_digests.hpp
@@ -60,8 +60,8 @@
     /// Its request rate per model, weighted by work per request.
     std::map<ModelName, double> demand_;
     std::map<ServiceName, RetryCounts> retries_; ///< Counts of the last window.
-    PoisonUpdate poison_;                          ///< Requests that crash endpoints.
-    std::vector<LimitUpdate> limits_;              ///< Limits that endpoints announced.
+    PoisonUpdate poison_;                        ///< Requests that crash endpoints.
+    std::vector<LimitUpdate> limits_;            ///< Limits that endpoints announced.
     std::vector<CooldownUpdate> cooldowns_; ///< Cooldowns that endpoints announced to the sender.
     bool isDraining_ = false;
 
--- a/src/serving/balancer.cpp
+++ b/src/serving/balancer.cpp
@@ -186,15 +186,16 @@
     const auto declared = request.service_->engine_->meanPromptTokens_;
     if (declared > 0)
         return declared;
-    const auto average = meanPromptTokens_.find(request.service_->name_);
-    return average == meanPromptTokens_.end() ? request.promptTokens_
-                                              : static_cast<std::size_t>(average->second);
+    const auto average = observedPromptTokens_.find(request.service_->name_);
+    return average == observedPromptTokens_.end() ? request.promptTokens_
+                                                  : static_cast<std::size_t>(average->second);
 }
 
 void Balancer::recordPromptSize(const RoutingRequest &request)
 {
     const auto tokens = static_cast<double>(request.promptTokens_);
-    const auto [average, isFirst] = meanPromptTokens_.try_emplace(request.service_->name_, tokens);
+    const auto [average, isFirst]
+        = observedPromptTokens_.try_emplace(request.service_->name_, tokens);
     if (!isFirst)
         average->second += (tokens - average->second) * newPromptWeight;
 }
@@ -203,8 +204,8 @@
                            TimePoint now) const
 {
     const auto *model = profile.model(candidate.model_);
-    const double rate
-        = profile.prefillTokensPerSecond_ * readingShare / (model->timeFactor_ * candidate.slowdown_);
+    const double rate = profile.prefillTokensPerSecond_ * readingShare
+                        / (model->timeFactor_ * candidate.slowdown_);
     return fromSeconds(loadTracker_.pendingPromptTokens(candidate.endpoint_, rate, now) / rate);
 }
 
