--- a/bench/groups_slopes.cpp
+++ b/bench/groups_slopes.cpp
@@ -132,7 +132,7 @@
         fleet.advanceUntil([&] { return fleet.servingCount() == wanted; }, minutes(5));
         fleet.advance(seconds(10));
         const groups::PlanInput input{fleet.configuration_, shape.zone_, fleet.vms_, &node.view_,
-                                      &node.board_};
+                                      &node.groupCache_};
         times.push_back({static_cast<double>(vms), timeOf([&] { node.manager().tick(input); })});
         double rows = 0;
         for (const auto &[key, row] : fleet.platform_.rows())
--- a/bench/planner_traces.cpp
+++ b/bench/planner_traces.cpp
@@ -195,9 +195,9 @@
 void report(const Run &run)
 {
     const std::vector<std::pair<const char *, PolicyMaker>> policies{
-        {"least cost", [] { return std::make_shared<planning::LeastCost>(); }},
-        {"always wait", [] { return std::make_shared<planning::AlwaysWait>(); }},
-        {"always replace", [] { return std::make_shared<planning::AlwaysReplace>(); }}};
+        {"least cost", [] { return std::make_shared<planning::LeastCostPolicy>(); }},
+        {"always wait", [] { return std::make_shared<planning::AlwaysWaitPolicy>(); }},
+        {"always replace", [] { return std::make_shared<planning::AlwaysReplacePolicy>(); }}};
     for (const std::uint64_t first : {1, 101}) {
         for (const auto &[name, policy] : policies) {
             const Totals totals = runSeeds(run, policy, first);
--- a/examples/repair_plan.cpp
+++ b/examples/repair_plan.cpp
@@ -69,7 +69,7 @@
     state.vms_.front().isHealthy_ = false;
     state.vms_.front().lostFor_ = lostFor;
     state.groups_.front().phase_ = groups::GroupPhase::Degraded;
-    state.groups_.front().phaseFor_ = lostFor;
+    state.groups_.front().timeInPhase_ = lostFor;
 }
 
 void print(const planning::PlanDecision &decision, Duration lostFor)
--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -78,10 +78,10 @@
 #include <cardamombay/endpoint/http_endpoint_orders.hpp>
 
 #include <cardamombay/groups/events.hpp>
-#include <cardamombay/groups/group_board.hpp>
-#include <cardamombay/groups/group_life.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/groups/group_manager.hpp>
 #include <cardamombay/groups/group_row.hpp>
+#include <cardamombay/groups/group_state_machine.hpp>
 #include <cardamombay/groups/manager_settings.hpp>
 #include <cardamombay/groups/plan_input.hpp>
 #include <cardamombay/groups/vm_row.hpp>
--- a/include/cardamombay/control/control_node.hpp
+++ b/include/cardamombay/control/control_node.hpp
@@ -17,7 +17,7 @@
 #include <cardamombay/control/zone_planner.hpp>
 #include <cardamombay/core/decision_log.hpp>
 #include <cardamombay/endpoint/endpoint_orders.hpp>
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/membership/membership.hpp>
 #include <cardamombay/membership/peer_transport.hpp>
 #include <cardamombay/platform/object_store.hpp>
@@ -93,7 +93,7 @@
     [[nodiscard]] const config::ConfigAgent &configuration() const { return config_; }
     [[nodiscard]] const membership::Membership &membership() const { return membership_; }
     [[nodiscard]] const watching::EndpointWatcher &watcher() const { return watcher_; }
-    [[nodiscard]] const groups::GroupBoard &board() const { return board_; }
+    [[nodiscard]] const groups::GroupCache &groupCache() const { return groupCache_; }
     [[nodiscard]] const ZonePlanner &planner() const { return planner_; }
     [[nodiscard]] const VmRecords &vms() const { return vms_; }
     [[nodiscard]] const ControlSettings &settings() const { return settings_; }
@@ -162,7 +162,7 @@
     platform::PacedTableStore store_;
     membership::Membership membership_;
     watching::EndpointWatcher watcher_;
-    groups::GroupBoard board_;
+    groups::GroupCache groupCache_;
     config::ConfigStore configStore_;
     config::ConfigAgent config_;
     VmListPoller list_;
--- a/include/cardamombay/control/node_charts.hpp
+++ b/include/cardamombay/control/node_charts.hpp
@@ -6,7 +6,7 @@
 #include <cardamombay/claims/claim_book.hpp>
 #include <cardamombay/config/config_agent.hpp>
 #include <cardamombay/core/result.hpp>
-#include <cardamombay/groups/group_life.hpp>
+#include <cardamombay/groups/group_state_machine.hpp>
 #include <cardamombay/leases/lease_keeper.hpp>
 #include <cardamombay/membership/member_table.hpp>
 
--- a/include/cardamombay/control/snapshot_builder.hpp
+++ b/include/cardamombay/control/snapshot_builder.hpp
@@ -5,7 +5,7 @@
 /// own report does not match the assignment has none.
 #pragma once
 
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/platform/vm_directory.hpp>
 #include <cardamombay/routing/routing_snapshot.hpp>
 #include <cardamombay/watching/endpoint_watcher.hpp>
@@ -26,7 +26,7 @@
 struct SnapshotInput
 {
     config::ConfigurationPtr configuration_;
-    const groups::GroupBoard &board_;
+    const groups::GroupCache &groupCache_;
     const watching::EndpointWatcher &watcher_;
     const VmRecords &vms_;
     const PeerLoad &peerLoad_;
--- a/include/cardamombay/control/zone_planner.hpp
+++ b/include/cardamombay/control/zone_planner.hpp
@@ -28,7 +28,7 @@
     std::span<const platform::VmRecord> vms_;
     std::span<const membership::MemberEntry> alive_;
     const groups::VmView *view_ = nullptr;
-    groups::GroupBoard *board_ = nullptr;
+    groups::GroupCache *groupCache_ = nullptr;
 };
 
 /// \brief Planner of all fabric domains that concern this entry VM.
--- a/include/cardamombay/forward.hpp
+++ b/include/cardamombay/forward.hpp
@@ -141,11 +141,11 @@
 
 /// Life of the groups of a fabric domain: rows, orders, phases.
 namespace groups {
-class GroupBoard;
-class GroupLife;
+class GroupCache;
+class GroupStateMachine;
 class GroupManager;
 class VmView;
-struct BoardSettings;
+struct GroupCacheSettings;
 struct GroupRow;
 struct GroupStatus;
 struct ManagerSettings;
@@ -269,9 +269,9 @@
 
 /// Which VMs make up which groups: pure decisions.
 namespace planning {
-class AlwaysReplace;
-class AlwaysWait;
-class LeastCost;
+class AlwaysReplacePolicy;
+class AlwaysWaitPolicy;
+class LeastCostPolicy;
 class Planner;
 class RepairPolicy;
 class ReturnHistory;
@@ -284,7 +284,7 @@
 struct PlannedVm;
 struct RepairCase;
 struct RepairEstimate;
-struct ReturnOutlook;
+struct ReturnEstimate;
 } // namespace planning
 
 /// The table service, the object store and the VM list of the platform.
--- a/include/cardamombay/groups/group_board.hpp
+++ b/include/cardamombay/groups/group_cache.hpp
@@ -21,7 +21,7 @@
 namespace cardamombay::groups {
 
 /// \brief Pace of the board's refreshes.
-struct BoardSettings
+struct GroupCacheSettings
 {
     Duration refreshEvery_ = std::chrono::seconds(1);
     Duration longestRetryDelay_ = std::chrono::seconds(5);
@@ -36,14 +36,14 @@
 };
 
 /// \brief Forward-only cache of the tables "groups" and "vms".
-class GroupBoard
+class GroupCache
 {
 public:
-    GroupBoard(Clock &clock, platform::TableStore &store, Random random,
-               BoardSettings settings = {});
-    GroupBoard(const GroupBoard &) = delete;
-    GroupBoard &operator=(const GroupBoard &) = delete;
-    ~GroupBoard();
+    GroupCache(Clock &clock, platform::TableStore &store, Random random,
+               GroupCacheSettings settings = {});
+    GroupCache(const GroupCache &) = delete;
+    GroupCache &operator=(const GroupCache &) = delete;
+    ~GroupCache();
 
     /// \brief Refreshes now and then periodically.
     void start();
@@ -52,7 +52,7 @@
     void refresh();
 
     /// \brief Time between refreshes; raise it with the number of entry VMs.
-    void setRefreshEvery(Duration period) { settings_.refreshEvery_ = period; }
+    void setRefreshInterval(Duration period) { settings_.refreshEvery_ = period; }
 
     /// \brief Called when a row has changed.
     void onChange(std::function<void()> action) { changed_ = std::move(action); }
@@ -105,7 +105,7 @@
     Clock &clock_;
     platform::TableStore &store_;
     Random random_;
-    BoardSettings settings_;
+    GroupCacheSettings settings_;
     std::function<void()> changed_;
     std::map<GroupId, Versioned<GroupRow>> groups_;
     std::map<VmId, Versioned<VmRow>> vms_;
--- a/include/cardamombay/groups/group_manager.hpp
+++ b/include/cardamombay/groups/group_manager.hpp
@@ -11,8 +11,8 @@
 #include <cardamombay/core/clock.hpp>
 #include <cardamombay/core/decision_log.hpp>
 #include <cardamombay/endpoint/endpoint_orders.hpp>
-#include <cardamombay/groups/group_life.hpp>
 #include <cardamombay/groups/group_row.hpp>
+#include <cardamombay/groups/group_state_machine.hpp>
 #include <cardamombay/groups/manager_settings.hpp>
 #include <cardamombay/groups/plan_input.hpp>
 #include <cardamombay/leases/lease_keeper.hpp>
--- a/include/cardamombay/groups/group_life.hpp
+++ b/include/cardamombay/groups/group_state_machine.hpp
@@ -17,19 +17,20 @@
 
 namespace cardamombay::groups {
 
-class GroupLife;
+class GroupStateMachine;
 
 /// \brief charts/group.toml with its code; made once and shared by all groups of a process.
-using GroupProgramPtr = chart::ProgramPtr<GroupLife>;
+using GroupProgramPtr = chart::ProgramPtr<GroupStateMachine>;
 
 /// \brief What the members of a group are to be brought to.
 enum class MemberTarget { Nothing, Assigned, Drained };
 
 /// \brief One formation of a group; holds the phase, gives no orders.
-class GroupLife
+class GroupStateMachine
 {
 public:
-    GroupLife(GroupRow row, GroupProgramPtr program, DecisionSink &decisions, TimePoint now);
+    GroupStateMachine(GroupRow row, GroupProgramPtr program, DecisionSink &decisions,
+                      TimePoint now);
 
     /// \brief Joins \p chart, read from charts/group.toml, with the code.
     [[nodiscard]] static Result<GroupProgramPtr> bind(const chart::Chart &chart);
@@ -54,7 +55,7 @@
     void record(const char *event, std::string choice);
 
     GroupRow row_;
-    chart::Machine<GroupLife> machine_;
+    chart::Machine<GroupStateMachine> machine_;
     DecisionSink &decisions_;
     TimePoint now_{};
     TimePoint phaseSince_{};
--- a/include/cardamombay/groups/plan_input.hpp
+++ b/include/cardamombay/groups/plan_input.hpp
@@ -5,7 +5,7 @@
 
 #include <cardamombay/config/configuration.hpp>
 #include <cardamombay/core/ids.hpp>
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/groups/vm_view.hpp>
 #include <cardamombay/platform/vm_directory.hpp>
 
@@ -20,7 +20,7 @@
     AvailabilityZone zone_;
     std::vector<platform::VmRecord> vms_; ///< Engines of the whole zone, all of its domains.
     const VmView *view_ = nullptr;
-    GroupBoard *board_ = nullptr;
+    GroupCache *groupCache_ = nullptr;
 };
 
 } // namespace cardamombay::groups
--- a/include/cardamombay/planning/plan_state.hpp
+++ b/include/cardamombay/planning/plan_state.hpp
@@ -41,7 +41,7 @@
     std::vector<VmId> members_;
     std::uint32_t vmsPerReplica_ = 1;
     endpoint::ModelSpec model_;
-    Duration phaseFor_{};     ///< Time in the present phase.
+    Duration timeInPhase_{};  ///< Time in the present phase.
     bool isBusy_ = false;     ///< A transaction on its row is under way.
     bool needsReset_ = false; ///< A healthy member restarted, failed or was stopped.
 };
--- a/include/cardamombay/planning/repair_policy.hpp
+++ b/include/cardamombay/planning/repair_policy.hpp
@@ -34,8 +34,8 @@
     std::uint32_t otherSurvivors_ = 0; ///< Of the group that Merge would dissolve.
     std::uint32_t otherMissing_ = 0;
     Duration loadTime_{};
-    ReturnOutlook outlook_;      ///< Of the members missing here.
-    ReturnOutlook otherOutlook_; ///< Of those missing in the group that Merge would dissolve.
+    ReturnEstimate outlook_;      ///< Of the members missing here.
+    ReturnEstimate otherOutlook_; ///< Of those missing in the group that Merge would dissolve.
     bool canReplace_ = false;
     bool canMerge_ = false;
     bool canVacate_ = false;
@@ -68,21 +68,21 @@
 };
 
 /// \brief Takes the way of least expected cost; Wait on a tie.
-class LeastCost final : public RepairPolicy
+class LeastCostPolicy final : public RepairPolicy
 {
 public:
     [[nodiscard]] RepairWay choose(const std::vector<RepairEstimate> &ways) const override;
 };
 
 /// \brief Never replaces a member; for comparison.
-class AlwaysWait final : public RepairPolicy
+class AlwaysWaitPolicy final : public RepairPolicy
 {
 public:
     [[nodiscard]] RepairWay choose(const std::vector<RepairEstimate> &ways) const override;
 };
 
 /// \brief Replaces members as soon as there are spares; for comparison.
-class AlwaysReplace final : public RepairPolicy
+class AlwaysReplacePolicy final : public RepairPolicy
 {
 public:
     [[nodiscard]] RepairWay choose(const std::vector<RepairEstimate> &ways) const override;
--- a/include/cardamombay/planning/return_model.hpp
+++ b/include/cardamombay/planning/return_model.hpp
@@ -12,7 +12,7 @@
 namespace cardamombay::planning {
 
 /// \brief Expectation of the return of lost VMs.
-struct ReturnOutlook
+struct ReturnEstimate
 {
     double probability_ = 0; ///< That all of them return.
     Duration timeLeft_{};    ///< Expected time until all are back, if they return.
@@ -30,10 +30,10 @@
     }
 
     /// \brief Outlook for VMs that are lost for \p lostFor each, independently of each other.
-    [[nodiscard]] ReturnOutlook independent(std::span<const Duration> lostFor) const;
+    [[nodiscard]] ReturnEstimate independent(std::span<const Duration> lostFor) const;
 
     /// \brief Outlook for VMs lost to one cause \p lostFor ago, such as their switch.
-    [[nodiscard]] ReturnOutlook together(Duration lostFor) const;
+    [[nodiscard]] ReturnEstimate together(Duration lostFor) const;
 
 private:
     [[nodiscard]] double probabilityAfter(Duration lostFor) const;
--- a/src/control/admin_view.cpp
+++ b/src/control/admin_view.cpp
@@ -157,7 +157,7 @@
 {
     const auto phases = plannedPhases(node);
     std::vector<AdminGroup> all;
-    for (const auto &[id, row] : node.board().groups()) {
+    for (const auto &[id, row] : node.groupCache().groups()) {
         all.push_back(groupOf(node, row.content_));
         const auto planned = phases.find(id);
         if (planned != phases.end() && !all.back().isUsable_)
@@ -173,7 +173,7 @@
         if (record.role_ == platform::VmRole::Entry)
             continue;
         const auto *seen = node.watcher().observation(id);
-        const auto *row = node.board().vm(id);
+        const auto *row = node.groupCache().vm(id);
         admin::AdminVm vm{id,
                           record.zone_,
                           record.domain_,
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -54,7 +54,7 @@
     , membership_(links.clock_, links.peers_, Random(random_.bits()), settings_.membership_,
                   memberOf(settings_), charts.member_)
     , watcher_(links.clock_, links.orders_, settings_.watching_, settings_.self_)
-    , board_(links.clock_, store_, Random(random_.bits()))
+    , groupCache_(links.clock_, store_, Random(random_.bits()))
     , configStore_(links.clock_, store_, links.objects_, random_, tokensOf(settings_))
     , config_(links.clock_, configStore_, random_, links.decisions_, charts.config_,
               agentOptions(settings_))
@@ -99,7 +99,7 @@
     membership_.start(settings_.seeds_);
     config_.start();
     list_.start();
-    board_.start();
+    groupCache_.start();
     watcher_.start();
     claimExpiry_.start();
     tickSnapshot();
@@ -150,7 +150,8 @@
     list_.setPoller(polls);
     config_.setPoller(polls);
     const auto stretch = std::max(1.0, static_cast<double>(alive.size()) / boardReadersAtFullPace);
-    board_.setRefreshEvery(std::chrono::duration_cast<Duration>(std::chrono::seconds(1) * stretch));
+    groupCache_.setRefreshInterval(
+        std::chrono::duration_cast<Duration>(std::chrono::seconds(1) * stretch));
 }
 
 void ControlNode::takeConfiguration()
@@ -213,7 +214,7 @@
     if (!membership_.isTrusted() || !list_.hasList())
         return;
     const auto alive = membership_.aliveMembers();
-    planner_.tick({config_.current(), list_.list().vms_, alive, &view_, &board_});
+    planner_.tick({config_.current(), list_.list().vms_, alive, &view_, &groupCache_});
 }
 
 void ControlNode::publish()
@@ -225,7 +226,7 @@
     snapshot->configuration_ = config_.current();
     const PeerLoad peerLoad = reports_.load();
     snapshot->services_
-        = buildServices({snapshot->configuration_, board_, watcher_, vms_, peerLoad});
+        = buildServices({snapshot->configuration_, groupCache_, watcher_, vms_, peerLoad});
     snapshot->peerDemand_ = reports_.demand();
     snapshot->isStoreReachable_ = isStoreReachable();
     snapshot_ = std::move(snapshot);
@@ -290,7 +291,7 @@
 /// True if a group has a member that the list does not show yet.
 bool ControlNode::isMissingVm() const
 {
-    for (const auto &[id, group] : board_.groups()) {
+    for (const auto &[id, group] : groupCache_.groups()) {
         if (!group.content_.isActive())
             continue;
         for (const VmId &member : group.content_.members_) {
--- a/src/control/node_charts.cpp
+++ b/src/control/node_charts.cpp
@@ -48,7 +48,7 @@
     Loader loader(folder);
     loader.load("member", &membership::makeMemberProgram, charts.member_);
     loader.load("lease", &leases::LeaseKeeper::bind, charts.lease_);
-    loader.load("group", &groups::GroupLife::bind, charts.group_);
+    loader.load("group", &groups::GroupStateMachine::bind, charts.group_);
     loader.load("claim", &claims::makeClaimProgram, charts.claim_);
     loader.load("config", &config::ConfigAgent::bind, charts.config_);
     if (loader.error())
--- a/src/control/snapshot_builder.cpp
+++ b/src/control/snapshot_builder.cpp
@@ -21,7 +21,7 @@
     SnapshotService modelService(const config::Service &service) const
     {
         SnapshotService built{service.name_, {}};
-        for (const groups::GroupRow *row : input_.board_.groupsOf(service.name_)) {
+        for (const groups::GroupRow *row : input_.groupCache_.groupsOf(service.name_)) {
             if (row->isActive() && !row->members_.empty())
                 built.groups_.push_back(modelGroup(service, *row));
         }
--- a/src/control/zone_planner.cpp
+++ b/src/control/zone_planner.cpp
@@ -119,7 +119,7 @@
     input.configuration_ = picture.configuration_;
     input.zone_ = domain.zone_;
     input.view_ = picture.view_;
-    input.board_ = picture.board_;
+    input.groupCache_ = picture.groupCache_;
     std::copy_if(picture.vms_.begin(), picture.vms_.end(), std::back_inserter(input.vms_),
                  [&](const platform::VmRecord &record) {
                      return record.role_ == platform::VmRole::Engine
--- a/src/groups/group_board.cpp
+++ b/src/groups/group_cache.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -27,8 +27,8 @@
 
 } // namespace
 
-GroupBoard::GroupBoard(Clock &clock, platform::TableStore &store, Random random,
-                       BoardSettings settings)
+GroupCache::GroupCache(Clock &clock, platform::TableStore &store, Random random,
+                       GroupCacheSettings settings)
     : clock_(clock)
     , store_(store)
     , random_(random)
@@ -41,24 +41,24 @@
     cursors_.push_back(Cursor{vmTable, {}, {}, {}});
 }
 
-GroupBoard::~GroupBoard()
+GroupCache::~GroupCache()
 {
     clock_.cancel(timer_);
 }
 
-void GroupBoard::start()
+void GroupCache::start()
 {
     isStarted_ = true;
     refresh();
 }
 
-void GroupBoard::refresh()
+void GroupCache::refresh()
 {
     if (!isRefreshing_)
         arm(Duration::zero());
 }
 
-void GroupBoard::arm(Duration delay)
+void GroupCache::arm(Duration delay)
 {
     clock_.cancel(timer_);
     timer_ = clock_.schedule(delay, [this] {
@@ -67,7 +67,7 @@
     });
 }
 
-void GroupBoard::startRefresh()
+void GroupCache::startRefresh()
 {
     if (isRefreshing_)
         return;
@@ -79,7 +79,7 @@
     scanNext();
 }
 
-void GroupBoard::scanNext()
+void GroupCache::scanNext()
 {
     const Cursor &cursor = cursors_[scanning_];
     platform::Scan scan;
@@ -98,7 +98,7 @@
     store_.scan(std::move(scan), std::move(taken));
 }
 
-void GroupBoard::take(const platform::ScanPage &page)
+void GroupCache::take(const platform::ScanPage &page)
 {
     Cursor &cursor = cursors_[scanning_];
     if (cursor.after_.empty())
@@ -118,7 +118,7 @@
         finish();
 }
 
-void GroupBoard::take(const platform::Row &row)
+void GroupCache::take(const platform::Row &row)
 {
     if (row.key_.table_ == groupTable) {
         const Result<GroupRow> decoded = decodeGroupRow(row.value_);
@@ -131,17 +131,17 @@
         apply(valueOf(decoded), row.version_);
 }
 
-void GroupBoard::apply(const GroupRow &row, RowVersion version)
+void GroupCache::apply(const GroupRow &row, RowVersion version)
 {
     hasChanged_ |= moveForward(groups_, row.group_, row, version);
 }
 
-void GroupBoard::apply(const VmRow &row, RowVersion version)
+void GroupCache::apply(const VmRow &row, RowVersion version)
 {
     hasChanged_ |= moveForward(vms_, row.vm_, row, version);
 }
 
-void GroupBoard::fail()
+void GroupCache::fail()
 {
     isRefreshing_ = false;
     delay_ = std::min(delay_ * 2, settings_.longestRetryDelay_);
@@ -149,7 +149,7 @@
         arm(std::chrono::duration_cast<Duration>(delay_ * (0.5 + random_.unit())));
 }
 
-void GroupBoard::finish()
+void GroupCache::finish()
 {
     isRefreshing_ = false;
     hasBeenRefreshed_ = true;
@@ -161,17 +161,17 @@
         changed_();
 }
 
-const Versioned<GroupRow> *GroupBoard::group(const GroupId &group) const
+const Versioned<GroupRow> *GroupCache::group(const GroupId &group) const
 {
     return find(groups_, group);
 }
 
-const Versioned<VmRow> *GroupBoard::vm(const VmId &vm) const
+const Versioned<VmRow> *GroupCache::vm(const VmId &vm) const
 {
     return find(vms_, vm);
 }
 
-std::vector<const GroupRow *> GroupBoard::groupsOf(const ServiceName &service) const
+std::vector<const GroupRow *> GroupCache::groupsOf(const ServiceName &service) const
 {
     std::vector<const GroupRow *> found;
     for (const auto &[id, row] : groups_) {
@@ -181,7 +181,7 @@
     return found;
 }
 
-RowVersion GroupBoard::completeTo() const
+RowVersion GroupCache::completeTo() const
 {
     return std::min(cursors_.front().completeTo_, cursors_.back().completeTo_);
 }
--- a/src/groups/group_lives.cpp
+++ b/src/groups/group_lives.cpp
@@ -25,13 +25,13 @@
     missing_.clear();
 }
 
-GroupLife *GroupLives::find(const GroupId &group)
+GroupStateMachine *GroupLives::find(const GroupId &group)
 {
     const auto found = lives_.find(group);
     return found == lives_.end() ? nullptr : &found->second;
 }
 
-void GroupLives::follow(const GroupBoard &board)
+void GroupLives::follow(const GroupCache &board)
 {
     for (const auto &[group, row] : board.groups()) {
         const bool isOwn = row.content_.domain_ == domain_;
@@ -49,7 +49,7 @@
     if (life != lives_.end() && life->second.row().generation_ != row.generation_)
         life = lives_.erase(life);
     if (life == lives_.end() || life->first != row.group_)
-        life = lives_.emplace(row.group_, GroupLife(row, program_, decisions_, now)).first;
+        life = lives_.emplace(row.group_, GroupStateMachine(row, program_, decisions_, now)).first;
     life->second.setRow(row);
     const GroupPhase phase = life->second.phase();
     const bool isEnding = phase == GroupPhase::Draining || phase == GroupPhase::Dissolving;
@@ -63,7 +63,8 @@
         advanceOne(life, view, concurrentLoads);
 }
 
-void GroupLives::advanceOne(GroupLife &life, const DomainView &view, std::uint32_t concurrentLoads)
+void GroupLives::advanceOne(GroupStateMachine &life, const DomainView &view,
+                            std::uint32_t concurrentLoads)
 {
     noteMembers(life, view);
     switch (life.phase()) {
@@ -92,7 +93,7 @@
 }
 
 /// Raises the events that follow from what the members report.
-void GroupLives::noteMembers(GroupLife &life, const DomainView &view)
+void GroupLives::noteMembers(GroupStateMachine &life, const DomainView &view)
 {
     const GroupRow &row = life.row();
     const std::size_t ready = view.count(row, MemberStanding::Ready);
@@ -118,7 +119,7 @@
 }
 
 /// Asks every member once more before the group counts as serving.
-void GroupLives::confirm(GroupLife &life, const DomainView &view)
+void GroupLives::confirm(GroupStateMachine &life, const DomainView &view)
 {
     bool isConfirmed = true;
     for (const VmId &member : life.row().members_) {
@@ -133,13 +134,13 @@
         life.handle("verified", clock_.now());
 }
 
-void GroupLives::stopSurvivors(GroupLife &life)
+void GroupLives::stopSurvivors(GroupStateMachine &life)
 {
     if (clock_.now() >= life.phaseSince() + settings_.stopSurvivorsAfter_)
         life.handle("stop-due", clock_.now());
 }
 
-void GroupLives::finishDraining(GroupLife &life, const DomainView &view)
+void GroupLives::finishDraining(GroupStateMachine &life, const DomainView &view)
 {
     if (clock_.now() < life.phaseSince() + settings_.vetoSpread_)
         return;
@@ -153,7 +154,8 @@
 
 /// True if a report of the load made after no more work could arrive shows none. A group with a
 /// lost member has nothing in flight.
-bool GroupLives::hasDrained(const GroupLife &life, const DomainView &view, const VmId &member) const
+bool GroupLives::hasDrained(const GroupStateMachine &life, const DomainView &view,
+                            const VmId &member) const
 {
     if (view.count(life.row(), MemberStanding::Lost) > 0)
         return true;
--- a/src/groups/group_lives.hpp
+++ b/src/groups/group_lives.hpp
@@ -12,9 +12,9 @@
 
 #include <cardamombay/core/clock.hpp>
 #include <cardamombay/core/decision_log.hpp>
-#include <cardamombay/groups/group_board.hpp>
-#include <cardamombay/groups/group_life.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/groups/group_manager.hpp>
+#include <cardamombay/groups/group_state_machine.hpp>
 #include <cardamombay/groups/manager_settings.hpp>
 
 #include <cstdint>
@@ -32,7 +32,7 @@
                MemberOrders &members, RowWriter &writer);
 
     /// \brief Takes up the groups that the rows name, and lets go of those that were dissolved.
-    void follow(const GroupBoard &board);
+    void follow(const GroupCache &board);
 
     /// \brief Raises the events that follow from the members' reports and from time.
     /// \param view what the members report.
@@ -42,19 +42,19 @@
     /// \brief Forgets everything, as at the end of a tenure.
     void clear();
 
-    [[nodiscard]] const std::map<GroupId, GroupLife> &all() const { return lives_; }
+    [[nodiscard]] const std::map<GroupId, GroupStateMachine> &all() const { return lives_; }
     /// \brief The life of \p group, or null.
-    [[nodiscard]] GroupLife *find(const GroupId &group);
+    [[nodiscard]] GroupStateMachine *find(const GroupId &group);
     [[nodiscard]] std::vector<GroupStatus> statuses() const;
 
 private:
     void followRow(const GroupRow &row);
-    void advanceOne(GroupLife &life, const DomainView &view, std::uint32_t concurrentLoads);
-    void noteMembers(GroupLife &life, const DomainView &view);
-    void confirm(GroupLife &life, const DomainView &view);
-    void stopSurvivors(GroupLife &life);
-    void finishDraining(GroupLife &life, const DomainView &view);
-    [[nodiscard]] bool hasDrained(const GroupLife &life, const DomainView &view,
+    void advanceOne(GroupStateMachine &life, const DomainView &view, std::uint32_t concurrentLoads);
+    void noteMembers(GroupStateMachine &life, const DomainView &view);
+    void confirm(GroupStateMachine &life, const DomainView &view);
+    void stopSurvivors(GroupStateMachine &life);
+    void finishDraining(GroupStateMachine &life, const DomainView &view);
+    [[nodiscard]] bool hasDrained(const GroupStateMachine &life, const DomainView &view,
                                   const VmId &member) const;
     [[nodiscard]] std::size_t loadingGroups() const;
 
@@ -66,7 +66,7 @@
     OrderDesk &desk_;
     MemberOrders &members_;
     RowWriter &writer_;
-    std::map<GroupId, GroupLife> lives_;
+    std::map<GroupId, GroupStateMachine> lives_;
     std::map<GroupId, std::vector<VmId>> missing_;
 };
 
--- a/src/groups/group_manager.cpp
+++ b/src/groups/group_manager.cpp
@@ -83,13 +83,13 @@
     if (!hasTenure(input) || !knowsVms)
         return;
     members_.setConfiguration(input.configuration_);
-    writer_.setBoard(input.board_);
-    lives_.follow(*input.board_);
+    writer_.setBoard(input.groupCache_);
+    lives_.follow(*input.groupCache_);
     const DomainView view(input, desk_, clock_.now(), settings_);
     lives_.advance(view, input.configuration_->planner_.concurrentLoads_);
     for (const auto &[group, life] : lives_.all())
         members_.bring(life, view);
-    members_.releaseStrays(*input.board_, view);
+    members_.releaseStrays(*input.groupCache_, view);
     if (writer_.isPausing())
         return;
     freeOldRows(input);
@@ -106,9 +106,9 @@
     }
     if (tenure_ != lease_.epoch())
         beginTenure();
-    if (input.configuration_ && input.board_->completeTo() >= lease_.epochVersion())
+    if (input.configuration_ && input.groupCache_->completeTo() >= lease_.epochVersion())
         return true;
-    input.board_->refresh();
+    input.groupCache_->refresh();
     return false;
 }
 
@@ -140,11 +140,11 @@
 {
     constexpr std::size_t mostAtOnce = 64;
     std::vector<VmId> over;
-    for (const auto &[id, row] : input.board_->vms()) {
+    for (const auto &[id, row] : input.groupCache_->vms()) {
         const bool isOwn = row.content_.domain_ == lease_.domain();
         if (!isOwn || row.content_.isFree() || writer_.isReserved(id))
             continue;
-        const auto *group = input.board_->group(row.content_.group_);
+        const auto *group = input.groupCache_->group(row.content_.group_);
         if (group == nullptr || group->content_.generation_ < row.content_.generation_)
             continue; // Its group row is not known yet.
         const bool isCurrent = group->content_.generation_ == row.content_.generation_
@@ -172,7 +172,7 @@
 {
     if (!lease_.isHeldFor(settings_.orderMargin_) || writer_.isBusy(decision.group_))
         return;
-    GroupLife *life = lives_.find(decision.group_);
+    GroupStateMachine *life = lives_.find(decision.group_);
     switch (decision.action_) {
     case PlanAction::Wait:
         return;
--- a/src/groups/member_orders.cpp
+++ b/src/groups/member_orders.cpp
@@ -20,7 +20,7 @@
 }
 
 /// Brings the members to the target of their group, as far as they are not there yet.
-void MemberOrders::bring(const GroupLife &life, const DomainView &view)
+void MemberOrders::bring(const GroupStateMachine &life, const DomainView &view)
 {
     if (life.target() == MemberTarget::Nothing)
         return;
@@ -44,7 +44,7 @@
 }
 
 /// Releases VMs of the domain that report a formation their row does not name.
-void MemberOrders::releaseStrays(const GroupBoard &board, const DomainView &view)
+void MemberOrders::releaseStrays(const GroupCache &board, const DomainView &view)
 {
     for (const auto &[id, vm] : view.vms()) {
         const bool isOwn = vm.record_.domain_ == domain_;
--- a/src/groups/member_orders.hpp
+++ b/src/groups/member_orders.hpp
@@ -7,7 +7,7 @@
 #include "row_writer.hpp"
 
 #include <cardamombay/config/configuration.hpp>
-#include <cardamombay/groups/group_life.hpp>
+#include <cardamombay/groups/group_state_machine.hpp>
 
 namespace cardamombay::groups::impl {
 
@@ -23,10 +23,10 @@
     }
 
     /// \brief Orders the members of a group that are not at its target yet.
-    void bring(const GroupLife &life, const DomainView &view);
+    void bring(const GroupStateMachine &life, const DomainView &view);
 
     /// \brief Releases VMs of the domain that report a formation their row does not name.
-    void releaseStrays(const GroupBoard &board, const DomainView &view);
+    void releaseStrays(const GroupCache &board, const DomainView &view);
 
     /// \brief Asks a member of \p group for its state.
     void ask(const ZoneVm &vm, const GroupId &group);
--- a/src/groups/plan_survey.cpp
+++ b/src/groups/plan_survey.cpp
@@ -12,7 +12,7 @@
 
 PlannedVm summaryOf(const ZoneVm &vm, const SurveySources &sources)
 {
-    const auto *row = sources.input_.board_->vm(vm.record_.id_);
+    const auto *row = sources.input_.groupCache_->vm(vm.record_.id_);
     PlannedVm summary;
     summary.vm_ = vm.record_.id_;
     summary.domain_ = vm.record_.domain_;
@@ -63,7 +63,7 @@
         return summary;
     }
     summary.phase_ = life->second.phase();
-    summary.phaseFor_ = sources.now_ - life->second.phaseSince();
+    summary.timeInPhase_ = sources.now_ - life->second.phaseSince();
     summary.needsReset_ = needsReset(row, sources.view_);
     return summary;
 }
@@ -88,12 +88,12 @@
     state.policy_ = sources.input_.configuration_->planner_;
     for (const auto &[id, vm] : sources.view_.vms())
         state.vms_.push_back(summaryOf(vm, sources));
-    for (const auto &[id, row] : sources.input_.board_->groups()) {
+    for (const auto &[id, row] : sources.input_.groupCache_->groups()) {
         if (row.content_.zone_ == state.zone_ && !row.content_.isFreeSlot())
             state.groups_.push_back(summaryOf(row.content_, sources));
     }
     for (const auto &[group, service] : sources.writer_.formingSlots()) {
-        const auto *row = sources.input_.board_->group(group);
+        const auto *row = sources.input_.groupCache_->group(group);
         if (row == nullptr || row->content_.isFreeSlot())
             state.pending_.push_back({group, service});
     }
--- a/src/groups/plan_survey.hpp
+++ b/src/groups/plan_survey.hpp
@@ -5,7 +5,7 @@
 #include "domain_view.hpp"
 #include "row_writer.hpp"
 
-#include <cardamombay/groups/group_life.hpp>
+#include <cardamombay/groups/group_state_machine.hpp>
 #include <cardamombay/planning/plan_state.hpp>
 
 #include <map>
@@ -18,7 +18,7 @@
     const PlanInput &input_;
     const DomainView &view_;
     const RowWriter &writer_;
-    const std::map<GroupId, GroupLife> &lives_;
+    const std::map<GroupId, GroupStateMachine> &lives_;
     FabricDomain domain_;
     TimePoint now_{};
     TimePoint tenureSince_{}; ///< Nothing counts as lost for longer than the tenure.
--- a/src/groups/row_writer.cpp
+++ b/src/groups/row_writer.cpp
@@ -39,7 +39,7 @@
 
 void RowWriter::form(GroupRow row)
 {
-    const Versioned<GroupRow> *before = board_->group(row.group_);
+    const Versioned<GroupRow> *before = groupCache_->group(row.group_);
     row.generation_ = before == nullptr ? Generation(1) : before->content_.generation_.next();
     row.epoch_ = lease_.epoch();
     Change change{events::groupFormed, row.group_.text(), row.reason_, {}, {}};
@@ -92,13 +92,13 @@
     transaction.writer_ = tokens_.next();
     transaction.conditions_.push_back(lease_.fence());
     for (const GroupRow &row : change.groups_) {
-        const auto *known = board_->group(row.group_);
+        const auto *known = groupCache_->group(row.group_);
         transaction.conditions_.push_back(
             {groupKey(row.group_), known == nullptr ? RowVersion{} : known->version_});
         transaction.writes_.push_back({groupKey(row.group_), encode(row)});
     }
     for (const VmRow &row : change.vms_) {
-        const auto *known = board_->vm(row.vm_);
+        const auto *known = groupCache_->vm(row.vm_);
         transaction.conditions_.push_back(
             {vmKey(row.vm_), known == nullptr ? RowVersion{} : known->version_});
         transaction.writes_.push_back({vmKey(row.vm_), encode(row)});
@@ -117,13 +117,13 @@
     unreserve(change);
     if (isOk(result)) {
         for (const GroupRow &row : change.groups_)
-            board_->apply(row, valueOf(result).version_);
+            groupCache_->apply(row, valueOf(result).version_);
         for (const VmRow &row : change.vms_)
-            board_->apply(row, valueOf(result).version_);
+            groupCache_->apply(row, valueOf(result).version_);
         decisions_.record({clock_.now(), change.event_, change.subject_, change.reason_, {}, {}});
         return;
     }
-    board_->refresh();
+    groupCache_->refresh();
     if (!isError<StoreConflict>(result)) {
         resumeAt_
             = clock_.now()
--- a/src/groups/row_writer.hpp
+++ b/src/groups/row_writer.hpp
@@ -4,7 +4,7 @@
 
 #include <cardamombay/core/clock.hpp>
 #include <cardamombay/core/decision_log.hpp>
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/groups/manager_settings.hpp>
 #include <cardamombay/leases/lease_keeper.hpp>
 #include <cardamombay/platform/reliable_commit.hpp>
@@ -30,7 +30,7 @@
               Incarnation incarnation);
 
     /// \brief Board that the conditions are taken from; to be set before each use.
-    void setBoard(GroupBoard *board) { board_ = board; }
+    void setBoard(GroupCache *board) { groupCache_ = board; }
 
     /// \brief Writes the next formation of a slot.
     /// \param row the formation; generation and epoch are filled in.
@@ -81,7 +81,7 @@
     Random random_;
     platform::WriterTokens tokens_;
     platform::ReliableCommit commits_;
-    GroupBoard *board_ = nullptr;
+    GroupCache *groupCache_ = nullptr;
     TimePoint resumeAt_{};
     std::set<GroupId> busyGroups_;
     std::set<VmId> busyVms_;
--- a/src/planning/planner.cpp
+++ b/src/planning/planner.cpp
@@ -7,7 +7,7 @@
 namespace cardamombay::planning {
 
 Planner::Planner()
-    : Planner(std::make_shared<LeastCost>())
+    : Planner(std::make_shared<LeastCostPolicy>())
 {
 }
 
--- a/src/planning/repair_policy.cpp
+++ b/src/planning/repair_policy.cpp
@@ -24,7 +24,7 @@
     Duration down_{};
 };
 
-Waiting waitingFor(const ReturnOutlook &outlook, Duration loadTime, Duration fallback)
+Waiting waitingFor(const ReturnEstimate &outlook, Duration loadTime, Duration fallback)
 {
     const double stays = 1 - outlook.probability_;
     Waiting waiting;
@@ -74,7 +74,7 @@
     /// The other group then needs the return of all VMs that are lost from both.
     [[nodiscard]] RepairEstimate merge() const
     {
-        ReturnOutlook all;
+        ReturnEstimate all;
         all.probability_ = repair_.outlook_.probability_ * repair_.otherOutlook_.probability_;
         all.timeLeft_ = std::max(repair_.outlook_.timeLeft_, repair_.otherOutlook_.timeLeft_);
         const Waiting rest
@@ -143,7 +143,7 @@
     return ways;
 }
 
-RepairWay LeastCost::choose(const std::vector<RepairEstimate> &ways) const
+RepairWay LeastCostPolicy::choose(const std::vector<RepairEstimate> &ways) const
 {
     const auto least = std::min_element(ways.begin(), ways.end(),
                                         [](const RepairEstimate &one, const RepairEstimate &other) {
@@ -152,12 +152,12 @@
     return least->way_;
 }
 
-RepairWay AlwaysWait::choose(const std::vector<RepairEstimate> &) const
+RepairWay AlwaysWaitPolicy::choose(const std::vector<RepairEstimate> &) const
 {
     return RepairWay::Wait;
 }
 
-RepairWay AlwaysReplace::choose(const std::vector<RepairEstimate> &ways) const
+RepairWay AlwaysReplacePolicy::choose(const std::vector<RepairEstimate> &ways) const
 {
     return isOpen(ways, RepairWay::Replace) ? RepairWay::Replace : RepairWay::Wait;
 }
--- a/src/planning/return_model.cpp
+++ b/src/planning/return_model.cpp
@@ -13,9 +13,9 @@
     return total > 0 ? returning / total : 0;
 }
 
-ReturnOutlook ReturnModel::independent(std::span<const Duration> lostFor) const
+ReturnEstimate ReturnModel::independent(std::span<const Duration> lostFor) const
 {
-    ReturnOutlook outlook{1, {}};
+    ReturnEstimate outlook{1, {}};
     double means = 0; // The expected maximum of n exponential times is their mean times H(n).
     std::size_t number = 0;
     for (const Duration each : lostFor) {
@@ -26,7 +26,7 @@
     return outlook;
 }
 
-ReturnOutlook ReturnModel::together(Duration lostFor) const
+ReturnEstimate ReturnModel::together(Duration lostFor) const
 {
     return {probabilityAfter(lostFor), returnTime_};
 }
--- a/tests/groups/rows.cpp
+++ b/tests/groups/rows.cpp
@@ -1,5 +1,5 @@
 #include <cardamombay/core/manual_clock.hpp>
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 
 #include "support/fake_store.hpp"
 
@@ -101,7 +101,7 @@
     ManualClock clock;
     FakePlatform platform(clock);
     FakeTableStore store(platform);
-    GroupBoard board(clock, store, Random(1));
+    GroupCache board(clock, store, Random(1));
     board.apply(sampleRow(2), RowVersion(10));
 
     board.apply(sampleRow(1), RowVersion(9));
@@ -114,7 +114,7 @@
     ManualClock clock;
     FakePlatform platform(clock);
     FakeTableStore store(platform);
-    GroupBoard board(clock, store, Random(1));
+    GroupCache board(clock, store, Random(1));
     int changes = 0;
     board.onChange([&] { ++changes; });
     (void)platform.apply(put(groupKey(sampleRow().group_), encode(sampleRow())));
@@ -139,7 +139,7 @@
         const VmRow row{VmId("vm-" + std::to_string(number)), FabricDomain("f"), {}, {}, {}};
         (void)platform.apply(put(vmKey(row.vm_), encode(row)));
     }
-    GroupBoard board(clock, store, Random(1));
+    GroupCache board(clock, store, Random(1));
 
     board.start();
     clock.advance(seconds(1));
@@ -153,7 +153,7 @@
     FakePlatform platform(clock);
     FakeTableStore store(platform);
     (void)platform.apply(put(groupKey(sampleRow().group_), encode(sampleRow())));
-    GroupBoard board(clock, store, Random(1));
+    GroupCache board(clock, store, Random(1));
     board.start();
     clock.advance(seconds(2));
 
--- a/tests/planning/planner.cpp
+++ b/tests/planning/planner.cpp
@@ -362,9 +362,9 @@
     const GroupId group = situation.group("lm", 1);
     situation.spares(1);
 
-    cr_assert(
-        isAction(situation.plan(Planner(std::make_shared<AlwaysWait>())), group, PlanAction::Wait));
-    cr_assert(isAction(situation.plan(Planner(std::make_shared<AlwaysReplace>())), group,
+    cr_assert(isAction(situation.plan(Planner(std::make_shared<AlwaysWaitPolicy>())), group,
+                       PlanAction::Wait));
+    cr_assert(isAction(situation.plan(Planner(std::make_shared<AlwaysReplacePolicy>())), group,
                        PlanAction::Replace));
 }
 
--- a/tests/regressions/regressions.cpp
+++ b/tests/regressions/regressions.cpp
@@ -100,7 +100,7 @@
     support::FakeTableStore store_;
     support::FakeEndpointOrders orders_;
     support::PollingView view_;
-    groups::GroupBoard board_;
+    groups::GroupCache board_;
     DecisionLog log_;
     control::ControlSettings settings_;
     std::vector<membership::MemberEntry> alive_;
--- a/tests/support/planner_fleet.cpp
+++ b/tests/support/planner_fleet.cpp
@@ -77,7 +77,7 @@
     , nodeStore_(clock_, store_)
     , nodeOrders_(clock_, orders_)
     , view_(clock_, nodeOrders_, fleet.vms_, fleet.leaving_)
-    , board_(clock_, nodeStore_, Random(7))
+    , groupCache_(clock_, nodeStore_, Random(7))
     , log_(100000)
 {
     const Incarnation incarnation(1);
@@ -89,14 +89,14 @@
             clock_, nodeStore_, nodeOrders_, *leases_.back(), log_, groups::ManagerSettings{},
             self_, incarnation, fleet.groupProgram_, planner));
     }
-    board_.start();
+    groupCache_.start();
     clock_.schedule(tickEvery, [this] { tick(); });
 }
 
 void PlannerNode::tick()
 {
     const groups::PlanInput input{fleet_.configuration_, fleet_.shape_.zone_, fleet_.vms_, &view_,
-                                  &board_};
+                                  &groupCache_};
     for (auto &manager : managers_)
         manager->tick(input);
     clock_.schedule(tickEvery, [this] { tick(); });
@@ -108,8 +108,8 @@
     , endpoints_(clock_)
     , leaseProgram_(require(leases::LeaseKeeper::bind(
           require(chart::loadChart(shape_.chartFolder_ + "/lease.toml")))))
-    , groupProgram_(require(
-          groups::GroupLife::bind(require(chart::loadChart(shape_.chartFolder_ + "/group.toml")))))
+    , groupProgram_(require(groups::GroupStateMachine::bind(
+          require(chart::loadChart(shape_.chartFolder_ + "/group.toml")))))
 {
     for (auto &service : shape_.services_)
         service.checksFencing_ = shape_.checksFencing_;
--- a/tests/support/planner_fleet.hpp
+++ b/tests/support/planner_fleet.hpp
@@ -80,7 +80,7 @@
     PausableStore nodeStore_;
     PausableOrders nodeOrders_;
     PollingView view_;
-    groups::GroupBoard board_;
+    groups::GroupCache groupCache_;
     DecisionLog log_;
 
 private:
