--- a/include/cardamombay/planning/plan_decision.hpp
+++ b/include/cardamombay/planning/plan_decision.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What the planner decides about a group.
+/// \brief Decision of the planner about a group slot.
 #pragma once
 
 #include <cardamombay/core/decision_log.hpp>
@@ -11,26 +11,26 @@
 
 namespace cardamombay::planning {
 
-/// \brief What is to be done with a group slot.
+/// \brief Action on a group slot.
 enum class PlanAction {
-    Wait,     ///< Nothing yet: the missing members are expected back.
+    Wait,     ///< Do nothing yet; the lost members are expected to return.
     Form,     ///< Form a free slot.
-    Replace,  ///< Form the slot anew in this domain, with other or with the same members.
+    Replace,  ///< Form the slot again in this domain, with new or with the same members.
     Move,     ///< Form the slot of a lost domain in this domain.
-    Drain,    ///< Finish the requests in flight, then dissolve.
-    Dissolve, ///< Dissolve at once; the group serves nothing.
+    Drain,    ///< Let the requests in flight finish, then dissolve the group.
+    Dissolve, ///< Dissolve a group that is not serving, without draining it.
 };
 
 [[nodiscard]] std::string_view nameOf(PlanAction action);
 
-/// \brief One decision with what it was based on.
+/// \brief A decision, with the alternatives and inputs it was based on.
 struct PlanDecision
 {
     PlanAction action_ = PlanAction::Wait;
     GroupId group_;
     ServiceName service_;
-    std::vector<VmId> members_; ///< By rank; for Form, Replace and Move.
-    std::string reason_;        ///< Short name, such as "member-lost".
+    std::vector<VmId> members_; ///< In order of rank; for Form, Replace and Move.
+    std::string reason_;        ///< Reason code such as "member-lost".
     std::vector<Alternative> alternatives_;
     std::vector<Detail> inputs_;
 };
--- a/include/cardamombay/planning/plan_state.hpp
+++ b/include/cardamombay/planning/plan_state.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What the planner decides on: one fabric domain and the availability zone around it.
+/// \brief Input of the planner: one fabric domain and the availability zone that contains it.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -17,21 +17,21 @@
 {
     VmId vm_;
     FabricDomain domain_;
-    bool isHealthy_ = false; ///< Heard of recently.
+    bool isHealthy_ = false; ///< Its last report is recent.
     bool isLeaving_ = false;
     bool isStraggler_ = false;
     bool isIdle_ = false;     ///< Reports no assignment.
-    bool isAssigned_ = false; ///< Its row names a group, or a transaction about to do so runs.
-    Duration lostFor_{};      ///< Time since it was last heard of; zero while healthy.
+    bool isAssigned_ = false; ///< Named by its row or by a pending transaction.
+    Duration lostFor_{};      ///< Time since its last report; zero while healthy.
 
-    /// \brief True if it may join a group at once.
+    /// \brief True if it can be assigned to a group now.
     [[nodiscard]] bool isSpare() const
     {
         return isHealthy_ && isIdle_ && !isLeaving_ && !isAssigned_;
     }
 };
 
-/// \brief A group of the availability zone that is not dissolved.
+/// \brief A group of the availability zone whose slot is not free.
 struct PlannedGroup
 {
     GroupId group_;
@@ -41,19 +41,19 @@
     std::vector<VmId> members_;
     std::uint32_t vmsPerReplica_ = 1;
     endpoint::ModelSpec model_;
-    Duration timeInPhase_{};  ///< Time in the present phase.
-    bool isBusy_ = false;     ///< A transaction on its row is under way.
-    bool needsReset_ = false; ///< A healthy member restarted, failed or was stopped.
+    Duration timeInPhase_{};  ///< Time spent in phase_.
+    bool isBusy_ = false;     ///< A transaction on its row is pending.
+    bool needsReset_ = false; ///< All members are healthy, but not all are ready.
 };
 
-/// \brief A slot that a transaction under way is going to form.
+/// \brief A slot that is being formed by a pending transaction.
 struct PendingSlot
 {
     GroupId group_;
     ServiceName service_;
 };
 
-/// \brief A model service with the capacity declared for the availability zone.
+/// \brief A model service with its declared capacity in the availability zone.
 struct PlannedService
 {
     ServiceName service_;
@@ -75,9 +75,9 @@
     std::vector<PendingSlot> pending_;
     std::vector<PlannedService> services_;
 
-    /// \brief The VM of that name, or null.
+    /// \brief The VM with that identifier, or null.
     [[nodiscard]] const PlannedVm *vm(const VmId &vm) const;
-    /// \brief The service of that name, or null.
+    /// \brief The service with that name, or null.
     [[nodiscard]] const PlannedService *service(const ServiceName &service) const;
 };
 
--- a/include/cardamombay/planning/planner.hpp
+++ b/include/cardamombay/planning/planner.hpp
@@ -1,10 +1,10 @@
 /// \file
 /// \brief Decides which VMs make up which groups in one fabric domain.
 ///
-/// A pure function of its input: no I/O, no clock, no state. It decides about repair of broken
-/// groups, replacement of leaving members, surplus groups and free slots, in the order of the
-/// services' claim on scarce VMs. It gives no orders and writes no rows; whether a decision can
-/// still be carried out is settled by the conditions of the transaction that carries it out.
+/// A pure function of its input: no I/O, no clock, no state. It decides on repairs of broken
+/// groups, replacement of leaving members, surplus groups and free slots, and serves services in
+/// order of priority when VMs are scarce. It sends no orders and writes no rows. A decision based
+/// on stale input fails on the conditions of its transaction.
 #pragma once
 
 #include <cardamombay/planning/plan_decision.hpp>
@@ -20,17 +20,17 @@
 /// \code
 /// const Planner planner;
 /// for (const PlanDecision &decision : planner.plan(state))
-///     carryOut(decision);
+///     execute(decision);
 /// \endcode
 class Planner
 {
 public:
-    /// \brief Plans by least expected cost.
+    /// \brief Creates a planner that repairs by LeastCostPolicy.
     Planner();
-    /// \brief Repairs by another policy.
+    /// \brief Creates a planner that repairs by \p policy.
     explicit Planner(std::shared_ptr<const RepairPolicy> policy);
 
-    /// \brief Decisions for the present situation; calling again gives the same.
+    /// \brief Decisions for \p state; the same state always gives the same decisions.
     [[nodiscard]] std::vector<PlanDecision> plan(const PlanState &state) const;
 
 private:
--- a/include/cardamombay/planning/repair_policy.hpp
+++ b/include/cardamombay/planning/repair_policy.hpp
@@ -1,8 +1,7 @@
 /// \file
-/// \brief The choice between the ways to repair a group that lost members.
-/// \details Decides among the ways that are open by expected downtime and expected stranded VMs,
-/// both in seconds, weighted by the configuration. It is a pure function; the planner carries
-/// nothing out by itself.
+/// \brief Choice of the strategy to repair a group that has lost members.
+/// \details The cost of a strategy is the weighted sum of the expected downtime in seconds and the
+/// expected VM-seconds of stranded VMs, with weights from the configuration.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -16,45 +15,45 @@
 
 namespace cardamombay::planning {
 
-/// \brief Ways to repair a group.
-enum class RepairWay {
-    Wait,    ///< Until the lost members return.
-    Replace, ///< By spares of the domain.
-    Merge,   ///< Dissolve another broken group and take its VMs.
-    Vacate,  ///< Free the slot for another domain of the zone that has the VMs.
+/// \brief Strategy to repair a group.
+enum class RepairStrategy {
+    Wait,    ///< Wait until the lost members return.
+    Replace, ///< Replace the lost members by spares of the domain.
+    Merge,   ///< Dissolve another broken group and use its VMs.
+    Vacate,  ///< Free the slot for another domain of the zone that has enough spares.
 };
 
-[[nodiscard]] std::string_view nameOf(RepairWay way);
+[[nodiscard]] std::string_view nameOf(RepairStrategy strategy);
 
-/// \brief Situation of a broken group.
+/// \brief State of a broken group, and the strategies available for it besides Wait.
 struct RepairCase
 {
     std::uint32_t missing_ = 0;
     std::uint32_t survivors_ = 0;
-    std::uint32_t otherSurvivors_ = 0; ///< Of the group that Merge would dissolve.
+    std::uint32_t otherSurvivors_ = 0; ///< Survivors of the group that Merge would dissolve.
     std::uint32_t otherMissing_ = 0;
     Duration loadTime_{};
-    ReturnEstimate outlook_;      ///< Of the members missing here.
-    ReturnEstimate otherOutlook_; ///< Of those missing in the group that Merge would dissolve.
+    ReturnEstimate returnEstimate_;      ///< For the missing members of this group.
+    ReturnEstimate otherReturnEstimate_; ///< For those of the group that Merge would dissolve.
     bool canReplace_ = false;
     bool canMerge_ = false;
     bool canVacate_ = false;
 };
 
-/// \brief Expected effects of a way.
+/// \brief Expected cost of a strategy.
 struct RepairEstimate
 {
-    RepairWay way_ = RepairWay::Wait;
-    Duration downtime_{};        ///< Sum over the groups concerned.
+    RepairStrategy strategy_ = RepairStrategy::Wait;
+    Duration downtime_{};        ///< Sum over the affected groups.
     double strandedSeconds_ = 0; ///< Stranded VMs times seconds.
     double cost_ = 0;
 };
 
-/// \brief Estimates of all ways open in \p repair, Wait first.
+/// \brief Estimates for all strategies available in \p repair, starting with Wait.
 [[nodiscard]] std::vector<RepairEstimate> estimateRepairs(const RepairCase &repair,
                                                           const config::PlannerPolicy &policy);
 
-/// \brief Chooses among the ways that are open.
+/// \brief Chooses among the available strategies.
 class RepairPolicy
 {
 public:
@@ -63,29 +62,33 @@
     RepairPolicy &operator=(const RepairPolicy &) = delete;
     virtual ~RepairPolicy() = default;
 
-    /// \brief The way to take; \p ways is never empty.
-    [[nodiscard]] virtual RepairWay choose(const std::vector<RepairEstimate> &ways) const = 0;
+    /// \brief Chooses a strategy; \p estimates is never empty.
+    [[nodiscard]] virtual RepairStrategy
+    choose(const std::vector<RepairEstimate> &estimates) const = 0;
 };
 
-/// \brief Takes the way of least expected cost; Wait on a tie.
+/// \brief Chooses the strategy of least expected cost, Wait on a tie.
 class LeastCostPolicy final : public RepairPolicy
 {
 public:
-    [[nodiscard]] RepairWay choose(const std::vector<RepairEstimate> &ways) const override;
+    [[nodiscard]] RepairStrategy
+    choose(const std::vector<RepairEstimate> &estimates) const override;
 };
 
-/// \brief Never replaces a member; for comparison.
+/// \brief Never replaces a member; a baseline for comparison.
 class AlwaysWaitPolicy final : public RepairPolicy
 {
 public:
-    [[nodiscard]] RepairWay choose(const std::vector<RepairEstimate> &ways) const override;
+    [[nodiscard]] RepairStrategy
+    choose(const std::vector<RepairEstimate> &estimates) const override;
 };
 
-/// \brief Replaces members as soon as there are spares; for comparison.
+/// \brief Replaces members as soon as there are enough spares; a baseline for comparison.
 class AlwaysReplacePolicy final : public RepairPolicy
 {
 public:
-    [[nodiscard]] RepairWay choose(const std::vector<RepairEstimate> &ways) const override;
+    [[nodiscard]] RepairStrategy
+    choose(const std::vector<RepairEstimate> &estimates) const override;
 };
 
 } // namespace cardamombay::planning
--- a/include/cardamombay/planning/return_history.hpp
+++ b/include/cardamombay/planning/return_history.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Learns from observed losses whether and when lost VMs come back.
-/// \details Decides how far the configured expectation is corrected by what a planner saw. It never
-/// decides on a repair and keeps nothing beyond a tenure of the lease.
+/// \brief Estimates from observed losses how likely and how fast lost VMs return.
+/// \details Adjusts the configured expectation by what the planner has observed during its tenure
+/// of the lease.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -16,8 +16,9 @@
 namespace cardamombay::planning {
 
 /// \brief Losses and returns of the VMs of one fabric domain during a tenure.
-/// \details The configured values count as a few observations, so that a new planner begins with
-/// them. A loss of more than half of the domain has one cause and teaches nothing about single VMs.
+/// \details The configured values count as a few prior observations, so that a new planner starts
+/// from them. A loss of more than half of the domain is ignored: it has a common cause and says
+/// nothing about individual VMs.
 class ReturnHistory
 {
 public:
@@ -26,28 +27,28 @@
     {
     }
 
-    /// \brief Takes in the VMs as they are at \p now.
+    /// \brief Records the health of the domain's VMs at \p now.
     void observe(const PlanState &state, TimePoint now);
 
-    /// \brief \p policy with the expectation of returns corrected by what was observed.
-    [[nodiscard]] config::PlannerPolicy corrected(config::PlannerPolicy policy) const;
+    /// \brief \p policy with return probability and return time adjusted by the observations.
+    [[nodiscard]] config::PlannerPolicy adjusted(config::PlannerPolicy policy) const;
 
-    /// \brief Forgets everything, as at the begin of a tenure.
+    /// \brief Discards all observations, at the start or end of a tenure.
     void clear();
 
     [[nodiscard]] std::uint32_t returned() const { return returned_; }
-    [[nodiscard]] std::uint32_t gone() const { return gone_; }
+    [[nodiscard]] std::uint32_t notReturned() const { return notReturned_; }
 
 private:
-    void noteLost(const PlannedVm &vm, TimePoint now);
-    void noteHealthy(const PlannedVm &vm, TimePoint now);
+    void recordUnhealthy(const PlannedVm &vm, TimePoint now);
+    void recordHealthy(const PlannedVm &vm, TimePoint now);
 
     FabricDomain domain_;
-    std::set<VmId> known_;           ///< Were healthy in this tenure.
-    std::map<VmId, TimePoint> lost_; ///< Lost since.
+    std::set<VmId> seenHealthy_;     ///< Seen healthy, and not lost since.
+    std::map<VmId, TimePoint> lost_; ///< Lost VMs with the time of loss.
     std::uint32_t returned_ = 0;
-    std::uint32_t gone_ = 0; ///< Away for so long that they count as never returning.
-    Duration awayTime_{};    ///< Sum over those that returned.
+    std::uint32_t notReturned_ = 0; ///< Lost for so long that they count as not returning.
+    Duration totalReturnTime_{};    ///< Sum over the VMs that returned.
 };
 
 } // namespace cardamombay::planning
--- a/include/cardamombay/planning/return_model.hpp
+++ b/include/cardamombay/planning/return_model.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// \brief Whether and when a lost VM comes back.
-/// \details Pure estimates; times are durations since the loss, probabilities lie between 0 and 1.
-/// It decides nothing.
+/// \brief Probability and expected time of the return of lost VMs.
+/// \details Times are durations since the loss, probabilities lie between 0 and 1.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -11,15 +10,15 @@
 
 namespace cardamombay::planning {
 
-/// \brief Expectation of the return of lost VMs.
+/// \brief Expected return of a set of lost VMs.
 struct ReturnEstimate
 {
-    double probability_ = 0; ///< That all of them return.
-    Duration timeLeft_{};    ///< Expected time until all are back, if they return.
+    double probability_ = 0; ///< Probability that all of them return.
+    Duration timeLeft_{};    ///< Expected time until the last returns, if all do.
 };
 
-/// \brief Return times taken as exponential, with a share of VMs that never return.
-/// \details The longer a VM is away, the likelier it is one of those that never return.
+/// \brief Model with exponential return times, in which a fraction of the VMs never returns.
+/// \details The longer a VM has been lost, the more likely it is one that never returns.
 class ReturnModel
 {
 public:
@@ -29,11 +28,11 @@
     {
     }
 
-    /// \brief Outlook for VMs that are lost for \p lostFor each, independently of each other.
+    /// \brief Estimate for VMs that were lost independently, each \p lostFor ago.
     [[nodiscard]] ReturnEstimate independent(std::span<const Duration> lostFor) const;
 
-    /// \brief Outlook for VMs lost to one cause \p lostFor ago, such as their switch.
-    [[nodiscard]] ReturnEstimate together(Duration lostFor) const;
+    /// \brief Estimate for VMs lost \p lostFor ago to a common cause, such as a failed switch.
+    [[nodiscard]] ReturnEstimate commonCause(Duration lostFor) const;
 
 private:
     [[nodiscard]] double probabilityAfter(Duration lostFor) const;
--- a/src/groups/group_manager.cpp
+++ b/src/groups/group_manager.cpp
@@ -161,7 +161,7 @@
     planning::PlanState state = impl::surveyOf(
         {input, view, writer_, lives_.all(), lease_.domain(), clock_.now(), tenureSince_});
     returns_.observe(state, clock_.now());
-    state.policy_ = returns_.corrected(state.policy_);
+    state.policy_ = returns_.adjusted(state.policy_);
     for (const PlanDecision &decision : planner_.plan(state)) {
         note(decision);
         carryOut(decision, input);
--- a/src/planning/planning_run.cpp
+++ b/src/planning/planning_run.cpp
@@ -32,10 +32,10 @@
 std::vector<PlanDecision> PlanningRun::decide()
 {
     countSpares();
-    countStandings();
-    for (const Need &need : needs())
-        meet(need);
-    endGoingGroups();
+    countGroups();
+    for (const VmDemand &demand : demands())
+        satisfy(demand);
+    endRetiringGroups();
     endSurplusGroups();
     moveLostGroups();
     return std::move(decisions_);
@@ -51,7 +51,7 @@
         else if (vm.isSpare())
             ++sparesElsewhere_[vm.domain_];
         else if (isOwnVm && vm.isHealthy_ && !vm.isLeaving_ && !vm.isAssigned_)
-            ++coming_;
+            ++incomingSpares_;
     }
     std::stable_sort(own.begin(), own.end(), [](const PlannedVm *one, const PlannedVm *other) {
         return one->isStraggler_ && !other->isStraggler_;
@@ -60,25 +60,25 @@
                    [](const PlannedVm *vm) { return vm->vm_; });
     for (const PlannedGroup &group : state_.groups_) {
         if (isOwn(group) && isEnding(group))
-            coming_ += group.members_.size() - lostMembers(group).size();
+            incomingSpares_ += group.members_.size() - lostMembers(group).size();
     }
 }
 
-void PlanningRun::countStandings()
+void PlanningRun::countGroups()
 {
     for (const PlannedGroup &group : state_.groups_) {
-        Standing &standing = standings_[group.service_];
+        ServiceCounts &counts = serviceCounts_[group.service_];
         if (isEnding(group)) {
-            ++standing.draining_;
-        } else if (isGoing(group)) {
-            ++standing.going_;
+            ++counts.draining_;
+        } else if (isRetiring(group)) {
+            ++counts.retiring_;
         } else {
-            ++standing.live_;
-            standing.serving_ += group.phase_ == GroupPhase::Serving ? 1 : 0;
+            ++counts.active_;
+            counts.serving_ += group.phase_ == GroupPhase::Serving ? 1 : 0;
         }
     }
     for (const PendingSlot &slot : state_.pending_)
-        ++standings_[slot.service_].live_;
+        ++serviceCounts_[slot.service_].active_;
 }
 
 bool PlanningRun::isOwn(const PlannedGroup &group) const
@@ -101,7 +101,7 @@
            || service->vmsPerReplica_ != group.vmsPerReplica_;
 }
 
-bool PlanningRun::isGoing(const PlannedGroup &group) const
+bool PlanningRun::isRetiring(const PlannedGroup &group) const
 {
     return hasLeavingMember(group) || isOutdated(group);
 }
@@ -114,7 +114,7 @@
     for (const VmId &member : group.members_) {
         const PlannedVm *vm = state_.vm(member);
         if (vm == nullptr)
-            lost.push_back(&unknown); // Gone from the VM list: it will not return.
+            lost.push_back(&unknown); // Removed from the VM list; it will not return.
         else if (!vm->isHealthy_)
             lost.push_back(vm);
     }
@@ -127,39 +127,39 @@
                        [&](const auto &domain) { return domain.second >= count; });
 }
 
-/// Needs in the order in which they get scarce VMs: by priority, then the service with the
-/// smaller share of its replicas serving, then broken groups before free slots.
-std::vector<Need> PlanningRun::needs() const
+/// Demands in the order in which they get scarce VMs: by descending priority, then by ascending
+/// fraction of replicas that serve, then broken groups before free slots.
+std::vector<VmDemand> PlanningRun::demands() const
 {
-    std::vector<Need> found;
+    std::vector<VmDemand> found;
     for (const PlannedGroup &group : state_.groups_) {
         const bool isBroken = group.phase_ == GroupPhase::Degraded && isOwn(group) && !group.isBusy_
-                              && !isGoing(group);
+                              && !isRetiring(group);
         if (isBroken)
             found.push_back({state_.service(group.service_), &group, group.group_, 0});
     }
     for (const PlannedService &service : state_.services_)
         addFreeSlots(service, found);
-    for (Need &need : found) {
-        const auto standing = standings_.find(need.service_->service_);
-        const double serving = standing == standings_.end() ? 0 : standing->second.serving_;
-        need.servedShare_ = serving / std::max<std::uint32_t>(need.service_->replicas_, 1);
+    for (VmDemand &demand : found) {
+        const auto counts = serviceCounts_.find(demand.service_->service_);
+        const double serving = counts == serviceCounts_.end() ? 0 : counts->second.serving_;
+        demand.servingShare_ = serving / std::max<std::uint32_t>(demand.service_->replicas_, 1);
     }
-    std::stable_sort(found.begin(), found.end(), [](const Need &one, const Need &other) {
+    std::stable_sort(found.begin(), found.end(), [](const VmDemand &one, const VmDemand &other) {
         if (one.service_->priority_ != other.service_->priority_)
             return one.service_->priority_ > other.service_->priority_;
-        return one.servedShare_ < other.servedShare_;
+        return one.servingShare_ < other.servingShare_;
     });
     return found;
 }
 
-/// The lowest free slot numbers, so many as replicas are wanting. Each domain begins at another
-/// one of them, so that planners of several domains seldom try the same.
-void PlanningRun::addFreeSlots(const PlannedService &service, std::vector<Need> &found) const
+/// Adds the lowest free slot numbers, one for each missing replica. Each domain uses its own order
+/// (rendezvous hashing), so that planners of several domains rarely try the same slot first.
+void PlanningRun::addFreeSlots(const PlannedService &service, std::vector<VmDemand> &found) const
 {
-    const auto standing = standings_.find(service.service_);
-    const std::uint32_t live = standing == standings_.end() ? 0 : standing->second.live_;
-    if (live >= service.replicas_)
+    const auto counts = serviceCounts_.find(service.service_);
+    const std::uint32_t active = counts == serviceCounts_.end() ? 0 : counts->second.active_;
+    if (active >= service.replicas_)
         return;
     std::set<GroupId> taken;
     for (const PlannedGroup &group : state_.groups_)
@@ -167,7 +167,7 @@
     for (const PendingSlot &slot : state_.pending_)
         taken.insert(slot.group_);
     std::vector<GroupId> slots;
-    for (std::uint32_t number = 0; slots.size() < service.replicas_ - live; ++number) {
+    for (std::uint32_t number = 0; slots.size() < service.replicas_ - active; ++number) {
         const GroupId slot = groups::slotId(service.service_, state_.zone_, number);
         if (!taken.contains(slot))
             slots.push_back(slot);
@@ -179,39 +179,39 @@
         found.push_back({&service, nullptr, slot, 0});
 }
 
-void PlanningRun::meet(const Need &need)
+void PlanningRun::satisfy(const VmDemand &demand)
 {
-    if (decided_.contains(need.slot_))
+    if (decided_.contains(demand.slot_))
         return;
-    if (need.broken_ == nullptr)
-        fill(need);
-    else if (lostMembers(*need.broken_).empty())
-        reset(*need.broken_);
+    if (demand.broken_ == nullptr)
+        formSlot(demand);
+    else if (lostMembers(*demand.broken_).empty())
+        reform(*demand.broken_);
     else
-        repair(need);
+        repair(demand);
 }
 
-void PlanningRun::fill(const Need &need)
+void PlanningRun::formSlot(const VmDemand &demand)
 {
-    const std::size_t wanted = need.service_->vmsPerReplica_;
+    const std::size_t wanted = demand.service_->vmsPerReplica_;
     if (spares_.size() < wanted) {
-        if (isWorthDonors(need, wanted))
-            drainDonors(need, wanted);
+        if (shouldPreempt(demand, wanted))
+            preemptGroups(demand, wanted);
         return;
     }
     PlanDecision decision;
     decision.action_ = PlanAction::Form;
-    decision.group_ = need.slot_;
-    decision.service_ = need.service_->service_;
+    decision.group_ = demand.slot_;
+    decision.service_ = demand.service_->service_;
     decision.inputs_.push_back({"spares", std::to_string(spares_.size())});
     decision.members_ = takeSpares(wanted);
     decision.reason_ = "capacity-declared";
-    ++standings_[decision.service_].live_;
+    ++serviceCounts_[decision.service_].active_;
     add(std::move(decision));
 }
 
-/// All members are there, but one restarted: the formation is void and made anew.
-void PlanningRun::reset(const PlannedGroup &group)
+/// Forms the slot again with the same members after one of them restarted.
+void PlanningRun::reform(const PlannedGroup &group)
 {
     if (!group.needsReset_)
         return;
@@ -224,18 +224,18 @@
     add(std::move(decision));
 }
 
-void PlanningRun::endGoingGroups()
+void PlanningRun::endRetiringGroups()
 {
     for (const PlannedGroup &group : state_.groups_) {
-        if (!isOwn(group) || group.isBusy_ || isEnding(group) || !isGoing(group))
+        if (!isOwn(group) || group.isBusy_ || isEnding(group) || !isRetiring(group))
             continue;
         const PlannedService *service = state_.service(group.service_);
-        const Standing &standing = standings_[group.service_];
-        const bool hasReplacement = service == nullptr || standing.serving_ >= service->replicas_;
-        const bool isReplacementUnderWay = standing.live_ > standing.serving_;
+        const ServiceCounts &counts = serviceCounts_[group.service_];
+        const bool hasReplacement = service == nullptr || counts.serving_ >= service->replicas_;
+        const bool isReplacementPending = counts.active_ > counts.serving_;
         const std::uint32_t wanted = service == nullptr ? 0 : service->vmsPerReplica_;
-        const bool canFormReplacement = spares_.size() + coming_ >= wanted
-                                        || hasSparesElsewhere(wanted) || isReplacementUnderWay;
+        const bool canFormReplacement = spares_.size() + incomingSpares_ >= wanted
+                                        || hasSparesElsewhere(wanted) || isReplacementPending;
         const bool isDown = group.phase_ != GroupPhase::Serving;
         if (isDown || hasReplacement)
             endGroup(group, isDown ? "not-worth-repair" : "replaced");
@@ -243,44 +243,44 @@
             continue;
         else if (hasLeavingMember(group))
             endGroup(group, "member-leaving");
-        else if (standing.draining_ == 0)
+        else if (counts.draining_ == 0)
             endGroup(group, "outdated");
-        standings_[group.service_].draining_ += decided_.contains(group.group_) ? 1 : 0;
+        serviceCounts_[group.service_].draining_ += decided_.contains(group.group_) ? 1 : 0;
     }
 }
 
 void PlanningRun::endSurplusGroups()
 {
-    for (const auto &[name, standing] : standings_) {
+    for (const auto &[name, counts] : serviceCounts_) {
         const PlannedService *service = state_.service(name);
         const std::uint32_t declared = service == nullptr ? 0 : service->replicas_;
-        if (standing.live_ <= declared)
+        if (counts.active_ <= declared)
             continue;
-        std::vector<const PlannedGroup *> live;
+        std::vector<const PlannedGroup *> active;
         for (const PlannedGroup &group : state_.groups_) {
-            if (group.service_ == name && !isEnding(group) && !isGoing(group))
-                live.push_back(&group);
+            if (group.service_ == name && !isEnding(group) && !isRetiring(group))
+                active.push_back(&group);
         }
-        std::stable_sort(live.begin(), live.end(),
+        std::stable_sort(active.begin(), active.end(),
                          [](const PlannedGroup *one, const PlannedGroup *other) {
                              return groups::slotNumber(one->group_).value_or(0)
                                     > groups::slotNumber(other->group_).value_or(0);
                          });
-        live.resize(std::min<std::size_t>(live.size(), standing.live_ - declared));
-        for (const PlannedGroup *group : live) {
+        active.resize(std::min<std::size_t>(active.size(), counts.active_ - declared));
+        for (const PlannedGroup *group : active) {
             if (isOwn(*group) && !group->isBusy_ && !decided_.contains(group->group_))
                 endGroup(*group, "surplus");
         }
     }
 }
 
-/// Takes over slots of other domains of the zone all of whose members are lost.
+/// Moves slots from other domains of the zone to this one if all their members are lost.
 void PlanningRun::moveLostGroups()
 {
     for (const PlannedGroup &group : state_.groups_) {
         const PlannedService *service = state_.service(group.service_);
         const auto lost = lostMembers(group);
-        const bool isLost = !isOwn(group) && !isEnding(group) && !isGoing(group)
+        const bool isLost = !isOwn(group) && !isEnding(group) && !isRetiring(group)
                             && lost.size() == group.members_.size();
         if (!isLost || service == nullptr || spares_.size() < service->vmsPerReplica_)
             continue;
@@ -292,10 +292,10 @@
         RepairCase repair;
         repair.missing_ = service->vmsPerReplica_;
         repair.loadTime_ = service->loadTime_;
-        repair.outlook_ = ReturnModel(state_.policy_).together(lostFor);
+        repair.returnEstimate_ = ReturnModel(state_.policy_).commonCause(lostFor);
         repair.canReplace_ = true;
-        const auto ways = estimateRepairs(repair, state_.policy_);
-        if (policy_.choose(ways) != RepairWay::Replace)
+        const auto estimates = estimateRepairs(repair, state_.policy_);
+        if (policy_.choose(estimates) != RepairStrategy::Replace)
             continue;
         PlanDecision decision;
         decision.action_ = PlanAction::Move;
@@ -303,13 +303,14 @@
         decision.service_ = group.service_;
         decision.members_ = takeSpares(service->vmsPerReplica_);
         decision.reason_ = "domain-lost";
-        for (const RepairEstimate &way : ways)
-            decision.alternatives_.push_back({std::string(nameOf(way.way_)), way.cost_});
+        for (const RepairEstimate &estimate : estimates)
+            decision.alternatives_.push_back(
+                {std::string(nameOf(estimate.strategy_)), estimate.cost_});
         add(std::move(decision));
     }
 }
 
-/// A group that serves drains first; any other has nothing in flight.
+/// Drains a serving group; any other has no requests in flight and is dissolved at once.
 void PlanningRun::endGroup(const PlannedGroup &group, std::string reason)
 {
     if (decided_.contains(group.group_))
--- a/src/planning/planning_run.hpp
+++ b/src/planning/planning_run.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief One run of the planner over one state.
+/// \brief One evaluation of a PlanState by the planner.
 #pragma once
 
 #include <cardamombay/planning/plan_decision.hpp>
@@ -13,25 +13,25 @@
 
 namespace cardamombay::planning::impl {
 
-/// \brief A claim on spare VMs: a broken group or a free slot.
-struct Need
+/// \brief Demand for spare VMs by a broken group or a free slot.
+struct VmDemand
 {
     const PlannedService *service_ = nullptr;
     const PlannedGroup *broken_ = nullptr; ///< Null for a free slot.
     GroupId slot_;
-    double servedShare_ = 0; ///< Share of the service's declared replicas that serve.
+    double servingShare_ = 0; ///< Fraction of the declared replicas that serve.
 };
 
-/// \brief How the groups of a service stand in the zone.
-struct Standing
+/// \brief Number of groups of a service in the zone, by state.
+struct ServiceCounts
 {
-    std::uint32_t live_ = 0;    ///< Not about to go; formed or being formed.
-    std::uint32_t serving_ = 0; ///< Live and serving.
-    std::uint32_t going_ = 0;   ///< Outdated or with a leaving member, not draining yet.
+    std::uint32_t active_ = 0;   ///< Formed or being formed, and not retiring.
+    std::uint32_t serving_ = 0;  ///< Active and serving.
+    std::uint32_t retiring_ = 0; ///< Outdated or with a leaving member; not draining yet.
     std::uint32_t draining_ = 0;
 };
 
-/// \brief Takes the decisions for one state.
+/// \brief Makes the decisions for one state.
 class PlanningRun
 {
 public:
@@ -40,36 +40,37 @@
     [[nodiscard]] std::vector<PlanDecision> decide();
 
 private:
-    /// \name Survey
+    /// \name State
     /// \{
     void countSpares();
-    void countStandings();
+    void countGroups();
     [[nodiscard]] bool isOwn(const PlannedGroup &group) const;
     [[nodiscard]] bool hasLeavingMember(const PlannedGroup &group) const;
     [[nodiscard]] bool isOutdated(const PlannedGroup &group) const;
-    [[nodiscard]] bool isGoing(const PlannedGroup &group) const;
+    [[nodiscard]] bool isRetiring(const PlannedGroup &group) const;
     [[nodiscard]] std::vector<const PlannedVm *> lostMembers(const PlannedGroup &group) const;
     [[nodiscard]] bool hasSparesElsewhere(std::uint32_t count) const;
     /// \}
 
-    /// \name Needs
+    /// \name Demands for VMs
     /// \{
-    [[nodiscard]] std::vector<Need> needs() const;
-    void addFreeSlots(const PlannedService &service, std::vector<Need> &found) const;
-    void meet(const Need &need);
-    void fill(const Need &need);
-    void repair(const Need &need);
-    void reset(const PlannedGroup &group);
-    void carryOut(RepairWay way, const Need &need, PlanDecision decision);
-    [[nodiscard]] RepairCase caseOf(const Need &need) const;
-    [[nodiscard]] const PlannedGroup *mergePartner(const Need &need, std::size_t missing) const;
-    [[nodiscard]] bool isWorthDonors(const Need &need, std::size_t missing) const;
-    void drainDonors(const Need &need, std::size_t missing);
+    [[nodiscard]] std::vector<VmDemand> demands() const;
+    void addFreeSlots(const PlannedService &service, std::vector<VmDemand> &found) const;
+    void satisfy(const VmDemand &demand);
+    void formSlot(const VmDemand &demand);
+    void repair(const VmDemand &demand);
+    void reform(const PlannedGroup &group);
+    void addRepair(RepairStrategy strategy, const VmDemand &demand, PlanDecision decision);
+    [[nodiscard]] RepairCase repairCase(const VmDemand &demand) const;
+    [[nodiscard]] const PlannedGroup *mergePartner(const VmDemand &demand,
+                                                   std::size_t missing) const;
+    [[nodiscard]] bool shouldPreempt(const VmDemand &demand, std::size_t missing) const;
+    void preemptGroups(const VmDemand &demand, std::size_t missing);
     /// \}
 
-    /// \name Groups that go
+    /// \name Retirement of groups
     /// \{
-    void endGoingGroups();
+    void endRetiringGroups();
     void endSurplusGroups();
     void moveLostGroups();
     void endGroup(const PlannedGroup &group, std::string reason);
@@ -77,14 +78,14 @@
 
     void add(PlanDecision decision);
     [[nodiscard]] std::vector<VmId> takeSpares(std::size_t count);
-    [[nodiscard]] std::vector<VmId> withSpares(const PlannedGroup &group);
+    [[nodiscard]] std::vector<VmId> membersWithSpares(const PlannedGroup &group);
 
     const PlanState &state_;
     const RepairPolicy &policy_;
-    std::vector<VmId> spares_; ///< Of the own domain, best last.
-    std::size_t coming_ = 0;   ///< VMs that become spares when they are released.
+    std::vector<VmId> spares_;       ///< Spares of this domain, stragglers first.
+    std::size_t incomingSpares_ = 0; ///< VMs of this domain about to become spares.
     std::map<FabricDomain, std::uint32_t> sparesElsewhere_;
-    std::map<ServiceName, Standing> standings_;
+    std::map<ServiceName, ServiceCounts> serviceCounts_;
     std::set<GroupId> decided_;
     std::vector<PlanDecision> decisions_;
 };
--- a/src/planning/repair_policy.cpp
+++ b/src/planning/repair_policy.cpp
@@ -6,35 +6,37 @@
 
 namespace {
 
-/// Downtime taken for a group that can neither be replaced nor comes back by itself.
-constexpr Duration hopelessDowntime = std::chrono::minutes(10);
+/// Downtime assumed for a group that can neither be repaired nor recovers by itself.
+constexpr Duration unrecoverableDowntime = std::chrono::minutes(10);
 
-/// Share of returning VMs that have lost their weights, so that the group loads again.
-constexpr double reloadShare = 0.5;
+/// Probability that returning VMs have lost their weights, so that the group has to load again.
+constexpr double reloadProbability = 0.5;
 
 Duration scaled(Duration duration, double factor)
 {
     return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
-/// Expected time until a group that waits is complete, and until it serves.
-struct Waiting
+/// Expected time until a waiting group has all its members, and until it serves.
+struct WaitEstimate
 {
-    Duration incomplete_{};
-    Duration down_{};
+    Duration timeToComplete_{};
+    Duration timeToServe_{};
 };
 
-Waiting waitingFor(const ReturnEstimate &outlook, Duration loadTime, Duration fallback)
+WaitEstimate estimateWait(const ReturnEstimate &estimate, Duration loadTime, Duration fallbackTime)
 {
-    const double stays = 1 - outlook.probability_;
-    Waiting waiting;
-    waiting.incomplete_ = outlook.timeLeft_ + scaled(fallback - loadTime, stays);
-    waiting.down_ = outlook.timeLeft_ + scaled(loadTime, outlook.probability_ * reloadShare)
-                    + scaled(fallback, stays);
+    const double neverReturns = 1 - estimate.probability_;
+    WaitEstimate waiting;
+    waiting.timeToComplete_ = estimate.timeLeft_ + scaled(fallbackTime - loadTime, neverReturns);
+    waiting.timeToServe_ = estimate.timeLeft_
+                           + scaled(loadTime, estimate.probability_ * reloadProbability)
+                           + scaled(fallbackTime, neverReturns);
     return waiting;
 }
 
-/// Estimates the ways of one case; what the other group costs is part of each if Merge is open.
+/// Estimates the strategies of one case. If Merge is available, each estimate includes the cost of
+/// the other group.
 class Estimator
 {
 public:
@@ -43,87 +45,92 @@
         , policy_(policy)
     {
         const bool hasFallback = repair.canReplace_ || repair.canVacate_;
-        const Duration hopeless = hopelessDowntime + repair.loadTime_;
-        own_ = waitingFor(repair.outlook_, repair.loadTime_,
-                          hasFallback ? repair.loadTime_ : hopeless);
+        const Duration unrecoverable = unrecoverableDowntime + repair.loadTime_;
+        own_ = estimateWait(repair.returnEstimate_, repair.loadTime_,
+                            hasFallback ? repair.loadTime_ : unrecoverable);
         if (repair.canMerge_)
-            other_ = waitingFor(repair.otherOutlook_, repair.loadTime_, hopeless);
+            other_ = estimateWait(repair.otherReturnEstimate_, repair.loadTime_, unrecoverable);
     }
 
     [[nodiscard]] RepairEstimate wait() const
     {
         std::uint32_t idle = repair_.survivors_;
         if (repair_.canReplace_)
-            idle += repair_.missing_; // The spares that stay unused meanwhile.
+            idle += repair_.missing_; // Spares that stay unused while waiting.
         else if (repair_.canVacate_)
             idle += repair_.missing_ + repair_.survivors_;
-        return total(RepairWay::Wait, own_.down_, idle * toSeconds(own_.incomplete_));
+        return withOtherGroup(RepairStrategy::Wait, own_.timeToServe_,
+                              idle * toSeconds(own_.timeToComplete_));
     }
 
     [[nodiscard]] RepairEstimate replace() const
     {
-        return total(RepairWay::Replace, repair_.loadTime_, 0);
+        return withOtherGroup(RepairStrategy::Replace, repair_.loadTime_, 0);
     }
 
     [[nodiscard]] RepairEstimate vacate() const
     {
-        const double stranded = repair_.survivors_ * toSeconds(own_.incomplete_);
-        return total(RepairWay::Vacate, repair_.loadTime_, stranded);
+        const double stranded = repair_.survivors_ * toSeconds(own_.timeToComplete_);
+        return withOtherGroup(RepairStrategy::Vacate, repair_.loadTime_, stranded);
     }
 
-    /// The other group then needs the return of all VMs that are lost from both.
+    /// After a merge the other group needs all VMs that either group has lost to return.
     [[nodiscard]] RepairEstimate merge() const
     {
         ReturnEstimate all;
-        all.probability_ = repair_.outlook_.probability_ * repair_.otherOutlook_.probability_;
-        all.timeLeft_ = std::max(repair_.outlook_.timeLeft_, repair_.otherOutlook_.timeLeft_);
-        const Waiting rest
-            = waitingFor(all, repair_.loadTime_, hopelessDowntime + repair_.loadTime_);
+        all.probability_
+            = repair_.returnEstimate_.probability_ * repair_.otherReturnEstimate_.probability_;
+        all.timeLeft_
+            = std::max(repair_.returnEstimate_.timeLeft_, repair_.otherReturnEstimate_.timeLeft_);
+        const WaitEstimate rest
+            = estimateWait(all, repair_.loadTime_, unrecoverableDowntime + repair_.loadTime_);
         const std::uint32_t left = repair_.otherSurvivors_ - repair_.missing_;
-        return priced(RepairWay::Merge, repair_.loadTime_ + rest.down_,
-                      left * toSeconds(rest.incomplete_));
+        return withCost(RepairStrategy::Merge, repair_.loadTime_ + rest.timeToServe_,
+                        left * toSeconds(rest.timeToComplete_));
     }
 
 private:
-    [[nodiscard]] RepairEstimate total(RepairWay way, Duration downtime, double stranded) const
+    [[nodiscard]] RepairEstimate withOtherGroup(RepairStrategy strategy, Duration downtime,
+                                                double stranded) const
     {
         if (!repair_.canMerge_)
-            return priced(way, downtime, stranded);
-        const double others = repair_.otherSurvivors_ * toSeconds(other_.incomplete_);
-        return priced(way, downtime + other_.down_, stranded + others);
+            return withCost(strategy, downtime, stranded);
+        const double others = repair_.otherSurvivors_ * toSeconds(other_.timeToComplete_);
+        return withCost(strategy, downtime + other_.timeToServe_, stranded + others);
     }
 
-    [[nodiscard]] RepairEstimate priced(RepairWay way, Duration downtime, double stranded) const
+    [[nodiscard]] RepairEstimate withCost(RepairStrategy strategy, Duration downtime,
+                                          double stranded) const
     {
         const double cost
             = policy_.downtimeWeight_ * toSeconds(downtime) + policy_.strandedWeight_ * stranded;
-        return {way, downtime, stranded, cost};
+        return {strategy, downtime, stranded, cost};
     }
 
     const RepairCase &repair_;
     const config::PlannerPolicy &policy_;
-    Waiting own_;
-    Waiting other_;
+    WaitEstimate own_;
+    WaitEstimate other_;
 };
 
-bool isOpen(const std::vector<RepairEstimate> &ways, RepairWay way)
+bool isAvailable(const std::vector<RepairEstimate> &estimates, RepairStrategy strategy)
 {
-    return std::any_of(ways.begin(), ways.end(),
-                       [&](const RepairEstimate &each) { return each.way_ == way; });
+    return std::any_of(estimates.begin(), estimates.end(),
+                       [&](const RepairEstimate &each) { return each.strategy_ == strategy; });
 }
 
 } // namespace
 
-std::string_view nameOf(RepairWay way)
+std::string_view nameOf(RepairStrategy strategy)
 {
-    switch (way) {
-    case RepairWay::Wait:
+    switch (strategy) {
+    case RepairStrategy::Wait:
         return "wait";
-    case RepairWay::Replace:
+    case RepairStrategy::Replace:
         return "replace";
-    case RepairWay::Merge:
+    case RepairStrategy::Merge:
         return "merge";
-    case RepairWay::Vacate:
+    case RepairStrategy::Vacate:
         return "vacate";
     }
     return "unknown";
@@ -133,33 +140,34 @@
                                             const config::PlannerPolicy &policy)
 {
     const Estimator estimator(repair, policy);
-    std::vector<RepairEstimate> ways{estimator.wait()};
+    std::vector<RepairEstimate> estimates{estimator.wait()};
     if (repair.canReplace_)
-        ways.push_back(estimator.replace());
+        estimates.push_back(estimator.replace());
     if (repair.canMerge_)
-        ways.push_back(estimator.merge());
+        estimates.push_back(estimator.merge());
     if (repair.canVacate_)
-        ways.push_back(estimator.vacate());
-    return ways;
+        estimates.push_back(estimator.vacate());
+    return estimates;
 }
 
-RepairWay LeastCostPolicy::choose(const std::vector<RepairEstimate> &ways) const
+RepairStrategy LeastCostPolicy::choose(const std::vector<RepairEstimate> &estimates) const
 {
-    const auto least = std::min_element(ways.begin(), ways.end(),
+    const auto least = std::min_element(estimates.begin(), estimates.end(),
                                         [](const RepairEstimate &one, const RepairEstimate &other) {
                                             return one.cost_ < other.cost_;
                                         });
-    return least->way_;
+    return least->strategy_;
 }
 
-RepairWay AlwaysWaitPolicy::choose(const std::vector<RepairEstimate> &) const
+RepairStrategy AlwaysWaitPolicy::choose(const std::vector<RepairEstimate> &) const
 {
-    return RepairWay::Wait;
+    return RepairStrategy::Wait;
 }
 
-RepairWay AlwaysReplacePolicy::choose(const std::vector<RepairEstimate> &ways) const
+RepairStrategy AlwaysReplacePolicy::choose(const std::vector<RepairEstimate> &estimates) const
 {
-    return isOpen(ways, RepairWay::Replace) ? RepairWay::Replace : RepairWay::Wait;
+    return isAvailable(estimates, RepairStrategy::Replace) ? RepairStrategy::Replace
+                                                           : RepairStrategy::Wait;
 }
 
 } // namespace cardamombay::planning
--- a/src/planning/return_history.cpp
+++ b/src/planning/return_history.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Observations that the configured values count for.
-constexpr double priorWeight = 5;
+/// Number of observations that the configured values count as.
+constexpr double priorObservations = 5;
 
-/// Away for longer than this, a VM counts as one that does not return.
-constexpr Duration longestReturn = std::chrono::minutes(10);
+/// A VM that is lost for longer than this counts as not returning.
+constexpr Duration maxReturnTime = std::chrono::minutes(10);
 
 } // namespace
 
@@ -23,50 +23,52 @@
     });
     if (lost * 2 > total) {
         lost_.clear();
-        known_.clear();
+        seenHealthy_.clear();
         return;
     }
     for (const PlannedVm &vm : state.vms_) {
         if (!isOwn(vm))
             continue;
         if (vm.isHealthy_)
-            noteHealthy(vm, now);
+            recordHealthy(vm, now);
         else
-            noteLost(vm, now);
+            recordUnhealthy(vm, now);
     }
 }
 
-void ReturnHistory::noteLost(const PlannedVm &vm, TimePoint now)
+void ReturnHistory::recordUnhealthy(const PlannedVm &vm, TimePoint now)
 {
     const auto lost = lost_.find(vm.vm_);
     if (lost == lost_.end()) {
-        if (known_.erase(vm.vm_) > 0 && !vm.isLeaving_)
+        if (seenHealthy_.erase(vm.vm_) > 0 && !vm.isLeaving_)
             lost_.emplace(vm.vm_, now - vm.lostFor_);
         return;
     }
-    if (now - lost->second < longestReturn)
+    if (now - lost->second < maxReturnTime)
         return;
-    ++gone_;
+    ++notReturned_;
     lost_.erase(lost);
 }
 
-void ReturnHistory::noteHealthy(const PlannedVm &vm, TimePoint now)
+void ReturnHistory::recordHealthy(const PlannedVm &vm, TimePoint now)
 {
-    known_.insert(vm.vm_);
+    seenHealthy_.insert(vm.vm_);
     const auto lost = lost_.find(vm.vm_);
     if (lost == lost_.end())
         return;
     ++returned_;
-    awayTime_ += now - lost->second;
+    totalReturnTime_ += now - lost->second;
     lost_.erase(lost);
 }
 
-config::PlannerPolicy ReturnHistory::corrected(config::PlannerPolicy policy) const
+config::PlannerPolicy ReturnHistory::adjusted(config::PlannerPolicy policy) const
 {
-    const double losses = priorWeight + returned_ + gone_;
-    policy.returnProbability_ = (policy.returnProbability_ * priorWeight + returned_) / losses;
+    const double losses = priorObservations + returned_ + notReturned_;
+    policy.returnProbability_
+        = (policy.returnProbability_ * priorObservations + returned_) / losses;
     policy.returnTime_ = std::chrono::duration_cast<Duration>(
-        (policy.returnTime_ * priorWeight + awayTime_) / (priorWeight + returned_));
+        (policy.returnTime_ * priorObservations + totalReturnTime_)
+        / (priorObservations + returned_));
     return policy;
 }
 
--- a/src/planning/return_model.cpp
+++ b/src/planning/return_model.cpp
@@ -15,18 +15,18 @@
 
 ReturnEstimate ReturnModel::independent(std::span<const Duration> lostFor) const
 {
-    ReturnEstimate outlook{1, {}};
-    double means = 0; // The expected maximum of n exponential times is their mean times H(n).
+    ReturnEstimate estimate{1, {}};
+    double means = 0; // Expected maximum of n exponential times: mean * H(n).
     std::size_t number = 0;
     for (const Duration each : lostFor) {
-        outlook.probability_ *= probabilityAfter(each);
+        estimate.probability_ *= probabilityAfter(each);
         means += 1.0 / static_cast<double>(++number);
     }
-    outlook.timeLeft_ = std::chrono::duration_cast<Duration>(returnTime_ * means);
-    return outlook;
+    estimate.timeLeft_ = std::chrono::duration_cast<Duration>(returnTime_ * means);
+    return estimate;
 }
 
-ReturnEstimate ReturnModel::together(Duration lostFor) const
+ReturnEstimate ReturnModel::commonCause(Duration lostFor) const
 {
     return {probabilityAfter(lostFor), returnTime_};
 }
--- a/tests/planning/planner.cpp
+++ b/tests/planning/planner.cpp
@@ -18,11 +18,11 @@
 const FabricDomain other("fabric-1");
 const AvailabilityZone zone("zone");
 
-/// Builds a planner's input: VMs are named "<domain>-<number>" and come in order.
-class Situation
+/// Builds the planner's input; VMs are named "<domain>-<number>" in order of creation.
+class PlanStateBuilder
 {
 public:
-    Situation()
+    PlanStateBuilder()
     {
         state_.domain_ = own;
         state_.zone_ = zone;
@@ -45,7 +45,7 @@
             addVm(domain, true);
     }
 
-    /// A group with the first \p lost members missing for \p lostFor.
+    /// Adds a group whose first \p lost members have been lost for \p lostFor.
     GroupId group(const std::string &service, std::uint32_t lost = 0,
                   Duration lostFor = seconds(10), const FabricDomain &domain = own)
     {
@@ -128,11 +128,11 @@
 
 Test(planner, free_slots_are_formed_as_far_as_spares_reach)
 {
-    Situation situation;
-    situation.service("lm", 3);
-    situation.spares(7);
+    PlanStateBuilder builder;
+    builder.service("lm", 3);
+    builder.spares(7);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert_eq(decisions.size(), 2U);
     for (const auto &decision : decisions) {
@@ -143,13 +143,13 @@
 
 Test(planner, same_input_gives_the_same_decisions)
 {
-    Situation situation;
-    situation.service("lm", 3);
-    situation.spares(4);
-    situation.group("lm", 1);
+    PlanStateBuilder builder;
+    builder.service("lm", 3);
+    builder.spares(4);
+    builder.group("lm", 1);
 
-    const auto one = situation.plan();
-    const auto two = situation.plan();
+    const auto one = builder.plan();
+    const auto two = builder.plan();
 
     cr_assert_eq(one.size(), two.size());
     for (std::size_t each = 0; each < one.size(); ++each) {
@@ -158,92 +158,92 @@
     }
 }
 
-Test(planner, nothing_is_decided_within_the_grace)
+Test(planner, nothing_is_decided_within_the_grace_period)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    situation.group("lm", 1, seconds(1));
-    situation.spares(1);
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    builder.group("lm", 1, seconds(1));
+    builder.spares(1);
 
-    cr_assert(situation.plan().empty());
+    cr_assert(builder.plan().empty());
 }
 
 Test(planner, replacement_keeps_the_ranks_of_the_survivors)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    const GroupId group = situation.group("lm", 1);
-    situation.spares(1);
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    const GroupId group = builder.group("lm", 1);
+    builder.spares(1);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert(isAction(decisions, group, PlanAction::Replace));
     const auto &members = decisionOn(decisions, group)->members_;
-    const auto &before = situation.groupOf(group).members_;
+    const auto &before = builder.groupOf(group).members_;
     cr_assert(members[0] != before[0]);
     cr_assert(members[1] == before[1] && members[2] == before[2]);
 }
 
-Test(planner, decision_names_the_ways_it_weighed_and_takes_the_cheapest)
+Test(planner, decision_lists_the_alternatives_and_takes_the_cheapest)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    const GroupId group = situation.group("lm", 1);
-    situation.spares(1);
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    const GroupId group = builder.group("lm", 1);
+    builder.spares(1);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     const PlanDecision &decision = *decisionOn(decisions, group);
     cr_assert(costOf(decision, "wait") > costOf(decision, "replace"));
     cr_assert(costOf(decision, "replace") > 0);
 }
 
-Test(planner, a_quick_likely_return_is_worth_waiting_for)
+Test(planner, waits_if_a_quick_return_is_likely)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    const GroupId group = situation.group("lm", 1, seconds(4));
-    situation.spares(1);
-    situation.state_.services_.front().loadTime_ = seconds(240);
-    situation.state_.policy_.returnTime_ = seconds(10);
-    situation.state_.policy_.returnProbability_ = 0.95;
-    situation.state_.policy_.strandedWeight_ = 0.1;
-    cr_assert(isAction(situation.plan(), group, PlanAction::Wait));
-
-    // The longer it stays away, the less likely it returns.
-    for (PlannedVm &vm : situation.state_.vms_)
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    const GroupId group = builder.group("lm", 1, seconds(4));
+    builder.spares(1);
+    builder.state_.services_.front().loadTime_ = seconds(240);
+    builder.state_.policy_.returnTime_ = seconds(10);
+    builder.state_.policy_.returnProbability_ = 0.95;
+    builder.state_.policy_.strandedWeight_ = 0.1;
+    cr_assert(isAction(builder.plan(), group, PlanAction::Wait));
+
+    // The longer a VM is lost, the less likely it is to return.
+    for (PlannedVm &vm : builder.state_.vms_)
         vm.lostFor_ = vm.isHealthy_ ? Duration::zero() : seconds(120);
 
-    cr_assert(isAction(situation.plan(), group, PlanAction::Replace));
+    cr_assert(isAction(builder.plan(), group, PlanAction::Replace));
 }
 
 Test(planner, stranded_weight_turns_a_wait_into_a_replacement)
 {
-    Situation situation;
-    situation.service("lm", 1, 100, 16);
-    const GroupId group = situation.group("lm", 1, seconds(4));
-    situation.spares(1);
-    situation.state_.services_.front().loadTime_ = seconds(200);
-    situation.state_.policy_.returnTime_ = seconds(30);
-    situation.state_.policy_.returnProbability_ = 0.9;
-    situation.state_.policy_.strandedWeight_ = 0;
-    cr_assert(isAction(situation.plan(), group, PlanAction::Wait));
-
-    situation.state_.policy_.strandedWeight_ = 5;
-
-    cr_assert(isAction(situation.plan(), group, PlanAction::Replace));
+    PlanStateBuilder builder;
+    builder.service("lm", 1, 100, 16);
+    const GroupId group = builder.group("lm", 1, seconds(4));
+    builder.spares(1);
+    builder.state_.services_.front().loadTime_ = seconds(200);
+    builder.state_.policy_.returnTime_ = seconds(30);
+    builder.state_.policy_.returnProbability_ = 0.9;
+    builder.state_.policy_.strandedWeight_ = 0;
+    cr_assert(isAction(builder.plan(), group, PlanAction::Wait));
+
+    builder.state_.policy_.strandedWeight_ = 5;
+
+    cr_assert(isAction(builder.plan(), group, PlanAction::Replace));
 }
 
 Test(planner, scarce_spare_goes_to_the_service_of_higher_priority)
 {
-    Situation situation;
-    situation.service("low", 1, 10);
-    situation.service("high", 1, 200);
-    const GroupId low = situation.group("low", 1);
-    const GroupId high = situation.group("high", 1);
-    situation.spares(1);
+    PlanStateBuilder builder;
+    builder.service("low", 1, 10);
+    builder.service("high", 1, 200);
+    const GroupId low = builder.group("low", 1);
+    const GroupId high = builder.group("high", 1);
+    builder.spares(1);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert(isAction(decisions, high, PlanAction::Replace));
     cr_assert_not(isAction(decisions, low, PlanAction::Replace));
@@ -251,54 +251,54 @@
 
 Test(planner, scarce_spare_goes_to_the_service_with_the_smaller_share_serving)
 {
-    Situation situation;
-    situation.service("full", 3);
-    situation.service("poor", 3);
-    situation.group("full");
-    situation.group("full");
-    const GroupId full = situation.group("full", 1);
-    const GroupId poor = situation.group("poor", 1);
-    situation.spares(1);
+    PlanStateBuilder builder;
+    builder.service("full", 3);
+    builder.service("poor", 3);
+    builder.group("full");
+    builder.group("full");
+    const GroupId full = builder.group("full", 1);
+    const GroupId poor = builder.group("poor", 1);
+    builder.spares(1);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert(isAction(decisions, poor, PlanAction::Replace));
     cr_assert_not(isAction(decisions, full, PlanAction::Replace));
 }
 
-Test(planner, group_of_lower_priority_gives_way_when_there_is_no_spare)
+Test(planner, group_of_lower_priority_is_preempted_when_there_is_no_spare)
 {
-    Situation situation;
-    situation.service("low", 1, 10);
-    situation.service("high", 1, 200);
-    const GroupId low = situation.group("low");
-    const GroupId high = situation.group("high", 1);
+    PlanStateBuilder builder;
+    builder.service("low", 1, 10);
+    builder.service("high", 1, 200);
+    const GroupId low = builder.group("low");
+    const GroupId high = builder.group("high", 1);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert(isAction(decisions, low, PlanAction::Drain));
     cr_assert(isAction(decisions, high, PlanAction::Wait));
 }
 
-Test(planner, group_of_the_same_priority_does_not_give_way)
+Test(planner, group_of_the_same_priority_is_not_preempted)
 {
-    Situation situation;
-    situation.service("one", 1);
-    situation.service("two", 1);
-    const GroupId one = situation.group("one");
-    situation.group("two", 1);
+    PlanStateBuilder builder;
+    builder.service("one", 1);
+    builder.service("two", 1);
+    const GroupId one = builder.group("one");
+    builder.group("two", 1);
 
-    cr_assert(decisionOn(situation.plan(), one) == nullptr);
+    cr_assert(decisionOn(builder.plan(), one) == nullptr);
 }
 
 Test(planner, of_two_broken_groups_without_spares_one_is_dissolved_for_the_other)
 {
-    Situation situation;
-    situation.service("lm", 2);
-    const GroupId one = situation.group("lm", 1);
-    const GroupId two = situation.group("lm", 1);
+    PlanStateBuilder builder;
+    builder.service("lm", 2);
+    const GroupId one = builder.group("lm", 1);
+    const GroupId two = builder.group("lm", 1);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     const int dissolved = (isAction(decisions, one, PlanAction::Dissolve) ? 1 : 0)
                           + (isAction(decisions, two, PlanAction::Dissolve) ? 1 : 0);
@@ -307,24 +307,24 @@
 
 Test(planner, slot_is_vacated_for_another_domain_that_has_the_vms)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    situation.state_.policy_.returnProbability_ = 0.1;
-    const GroupId group = situation.group("lm", 1);
-    situation.spares(3, other);
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    builder.state_.policy_.returnProbability_ = 0.1;
+    const GroupId group = builder.group("lm", 1);
+    builder.spares(3, other);
 
-    cr_assert(isAction(situation.plan(), group, PlanAction::Dissolve));
+    cr_assert(isAction(builder.plan(), group, PlanAction::Dissolve));
 }
 
-Test(planner, slot_of_a_dark_domain_is_taken_over_once)
+Test(planner, slot_of_a_lost_domain_is_moved_once)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    situation.state_.policy_.returnProbability_ = 0.1;
-    const GroupId group = situation.group("lm", 3, seconds(60), other);
-    situation.spares(3);
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    builder.state_.policy_.returnProbability_ = 0.1;
+    const GroupId group = builder.group("lm", 3, seconds(60), other);
+    builder.spares(3);
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert_eq(decisions.size(), 1U);
     cr_assert(isAction(decisions, group, PlanAction::Move));
@@ -332,49 +332,49 @@
 
 Test(planner, leaving_vm_is_never_a_spare)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    situation.spares(3);
-    situation.state_.vms_.front().isLeaving_ = true;
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    builder.spares(3);
+    builder.state_.vms_.front().isLeaving_ = true;
 
-    cr_assert(situation.plan().empty());
+    cr_assert(builder.plan().empty());
 }
 
 Test(planner, straggler_is_the_last_spare_to_be_taken)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    situation.spares(4);
-    const VmId straggler = situation.state_.vms_.back().vm_;
-    situation.state_.vms_.back().isStraggler_ = true;
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    builder.spares(4);
+    const VmId straggler = builder.state_.vms_.back().vm_;
+    builder.state_.vms_.back().isStraggler_ = true;
 
-    const auto decisions = situation.plan();
+    const auto decisions = builder.plan();
 
     cr_assert_eq(decisions.size(), 1U);
     const auto &members = decisions.front().members_;
     cr_assert(std::find(members.begin(), members.end(), straggler) == members.end());
 }
 
-Test(planner, always_wait_and_always_replace_do_what_they_say)
+Test(planner, baseline_policies_always_wait_or_always_replace)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    const GroupId group = situation.group("lm", 1);
-    situation.spares(1);
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    const GroupId group = builder.group("lm", 1);
+    builder.spares(1);
 
-    cr_assert(isAction(situation.plan(Planner(std::make_shared<AlwaysWaitPolicy>())), group,
+    cr_assert(isAction(builder.plan(Planner(std::make_shared<AlwaysWaitPolicy>())), group,
                        PlanAction::Wait));
-    cr_assert(isAction(situation.plan(Planner(std::make_shared<AlwaysReplacePolicy>())), group,
+    cr_assert(isAction(builder.plan(Planner(std::make_shared<AlwaysReplacePolicy>())), group,
                        PlanAction::Replace));
 }
 
-Test(planner, group_whose_transaction_is_under_way_is_left_alone)
+Test(planner, group_with_a_pending_transaction_is_left_unchanged)
 {
-    Situation situation;
-    situation.service("lm", 1);
-    const GroupId group = situation.group("lm", 1);
-    situation.spares(1);
-    situation.groupOf(group).isBusy_ = true;
+    PlanStateBuilder builder;
+    builder.service("lm", 1);
+    const GroupId group = builder.group("lm", 1);
+    builder.spares(1);
+    builder.groupOf(group).isBusy_ = true;
 
-    cr_assert(decisionOn(situation.plan(), group) == nullptr);
+    cr_assert(decisionOn(builder.plan(), group) == nullptr);
 }
--- a/tests/planning/return_history.cpp
+++ b/tests/planning/return_history.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Ten VMs; the first \p lost are away for \p lostFor.
+/// Ten VMs, the first \p lost of which have been lost for \p lostFor.
 PlanState stateWith(std::size_t lost, Duration lostFor)
 {
     PlanState state;
@@ -27,12 +27,12 @@
     return state;
 }
 
-struct History
+struct HistoryFixture
 {
     ReturnHistory history_{FabricDomain("f")};
     TimePoint now_{};
 
-    /// The first \p lost VMs go away for \p away and come back.
+    /// Simulates that the first \p lost VMs are lost for \p away and return.
     void lose(std::size_t lost, Duration away)
     {
         history_.observe(stateWith(0, {}), now_);
@@ -45,52 +45,52 @@
 
 } // namespace
 
-Test(return_history, without_observations_the_configured_values_stand)
+Test(return_history, without_observations_the_configured_values_are_used)
 {
     const config::PlannerPolicy policy;
 
-    cr_assert(ReturnHistory(FabricDomain("f")).corrected(policy) == policy);
+    cr_assert(ReturnHistory(FabricDomain("f")).adjusted(policy) == policy);
 }
 
-Test(return_history, returns_move_probability_and_time_towards_what_was_seen)
+Test(return_history, observed_returns_adjust_probability_and_time)
 {
-    History history;
+    HistoryFixture history;
     for (int round = 0; round < 45; ++round)
         history.lose(1, seconds(9));
 
-    const auto learnt = history.history_.corrected(config::PlannerPolicy{});
+    const auto adjustedPolicy = history.history_.adjusted(config::PlannerPolicy{});
 
     cr_assert_eq(history.history_.returned(), 45U);
-    cr_assert(std::abs(learnt.returnProbability_ - 0.95) < 0.001);
-    cr_assert(learnt.returnTime_ < seconds(15));
+    cr_assert(std::abs(adjustedPolicy.returnProbability_ - 0.95) < 0.001);
+    cr_assert(adjustedPolicy.returnTime_ < seconds(15));
 }
 
 Test(return_history, long_losses_lower_the_probability)
 {
-    History history;
+    HistoryFixture history;
     for (int round = 0; round < 5; ++round)
         history.lose(1, minutes(11));
 
-    cr_assert_eq(history.history_.gone(), 5U);
+    cr_assert_eq(history.history_.notReturned(), 5U);
     cr_assert_eq(history.history_.returned(), 0U);
-    cr_assert(history.history_.corrected(config::PlannerPolicy{}).returnProbability_ < 0.3);
+    cr_assert(history.history_.adjusted(config::PlannerPolicy{}).returnProbability_ < 0.3);
 }
 
-Test(return_history, loss_of_most_of_the_domain_teaches_nothing)
+Test(return_history, loss_of_most_of_the_domain_is_ignored)
 {
-    History history;
+    HistoryFixture history;
 
     history.lose(8, seconds(30));
 
     cr_assert_eq(history.history_.returned(), 0U);
 }
 
-Test(return_history, vm_never_seen_healthy_is_no_loss)
+Test(return_history, vm_never_seen_healthy_is_not_counted_as_lost)
 {
     ReturnHistory history(FabricDomain("f"));
 
     history.observe(stateWith(1, seconds(5)), TimePoint{} + seconds(5));
     history.observe(stateWith(1, minutes(20)), TimePoint{} + minutes(20));
 
-    cr_assert_eq(history.gone(), 0U);
+    cr_assert_eq(history.notReturned(), 0U);
 }
