--- a/include/cardamombay/groups/group_cache.hpp
+++ b/include/cardamombay/groups/group_cache.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// \brief Cached group and VM rows of the table service.
+/// \brief Read-only cache of the group and VM rows of the table service.
 ///
-/// Every entry VM keeps a board: routers learn from it which VMs make up a group, planners which
-/// VMs are free. It never writes. Rows only move forward: a stale read never brings back an older
-/// version. A stale board costs availability only, since routers also match what members report.
+/// Every entry VM has one: routers look up the members of a group in it, planners the free VMs. A
+/// cached row is only ever replaced by a newer version, so a stale read cannot revert it. A stale
+/// cache reduces availability but not safety, since routers also check what the members report.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -20,11 +20,11 @@
 
 namespace cardamombay::groups {
 
-/// \brief Pace of the board's refreshes.
+/// \brief Refresh interval and retry delay of a GroupCache.
 struct GroupCacheSettings
 {
-    Duration refreshEvery_ = std::chrono::seconds(1);
-    Duration longestRetryDelay_ = std::chrono::seconds(5);
+    Duration refreshInterval_ = std::chrono::seconds(1);
+    Duration maxRetryDelay_ = std::chrono::seconds(5);
 };
 
 /// \brief A row with its version in the table service.
@@ -35,7 +35,7 @@
     RowVersion version_;
 };
 
-/// \brief Forward-only cache of the tables "groups" and "vms".
+/// \brief Cache of the tables "groups" and "vms" that keeps the newest version of each row.
 class GroupCache
 {
 public:
@@ -45,19 +45,19 @@
     GroupCache &operator=(const GroupCache &) = delete;
     ~GroupCache();
 
-    /// \brief Refreshes now and then periodically.
+    /// \brief Refreshes at once and periodically from then on.
     void start();
 
-    /// \brief Refreshes soon, outside the period; several calls give one refresh.
+    /// \brief Schedules an extra refresh; does nothing while a refresh is in progress.
     void refresh();
 
-    /// \brief Time between refreshes; raise it with the number of entry VMs.
-    void setRefreshInterval(Duration period) { settings_.refreshEvery_ = period; }
+    /// \brief Sets the refresh interval, which should grow with the number of entry VMs.
+    void setRefreshInterval(Duration period) { settings_.refreshInterval_ = period; }
 
-    /// \brief Called when a row has changed.
+    /// \brief Sets the callback for the end of a refresh after which some row differs.
     void onChange(std::function<void()> action) { changed_ = std::move(action); }
 
-    /// \brief Takes in rows that the owner itself has written with \p version.
+    /// \brief Stores a row that this process has itself committed as \p version.
     void apply(const GroupRow &row, RowVersion version);
     /// \overload
     void apply(const VmRow &row, RowVersion version);
@@ -77,29 +77,29 @@
     /// \name Staleness
     /// \{
 
-    /// \brief Commit up to which all rows of both tables are known.
-    [[nodiscard]] RowVersion completeTo() const;
-    /// \brief Time since the start of the last refresh that succeeded.
+    /// \brief Store version up to which all commits to both tables are cached.
+    [[nodiscard]] RowVersion syncedVersion() const;
+    /// \brief Time since the start of the last successful refresh.
     [[nodiscard]] Duration age() const { return clock_.now() - refreshedAt_; }
     [[nodiscard]] bool hasBeenRefreshed() const { return hasBeenRefreshed_; }
     /// \}
 
 private:
-    /// One table's progress.
+    /// Scan state of one table.
     struct Cursor
     {
         std::string table_;
-        RowVersion completeTo_;
-        RowVersion next_;   ///< completeTo_ once the last page is in.
-        std::string after_; ///< Key after which the next page begins.
+        RowVersion syncedVersion_;
+        RowVersion next_;   ///< Becomes syncedVersion_ after the last page.
+        std::string after_; ///< Last key of the previous page.
     };
 
-    void arm(Duration delay);
+    void scheduleRefresh(Duration delay);
     void startRefresh();
     void scanNext();
-    void take(const platform::ScanPage &page);
-    void take(const platform::Row &row);
-    void fail();
+    void merge(const platform::ScanPage &page);
+    void merge(const platform::Row &row);
+    void retryLater();
     void finish();
 
     Clock &clock_;
--- a/include/cardamombay/groups/group_manager.hpp
+++ b/include/cardamombay/groups/group_manager.hpp
@@ -1,11 +1,11 @@
 /// \file
-/// \brief Carries the groups of one fabric domain through their life.
+/// \brief Manages the lifecycle of the groups of one fabric domain.
 ///
-/// Decides, with the planner, which VMs make up which groups, and orders the VMs accordingly. It
-/// guards the promises that no group serves while a member is missing and that no VM belongs to
-/// two groups: membership changes in one transaction conditioned on the planner lease and on each
-/// VM's row, orders leave only while the lease is held, and a VM joins a group only after it
-/// reported itself idle. It never decides on rows that may lack a commit of the planner before.
+/// Carries out the planner's decisions about which VMs make up which groups. It enforces that no
+/// group serves while a member is missing and that no VM belongs to two groups: membership changes
+/// in one transaction conditioned on the planner lease and on each VM's row, orders are sent only
+/// while the lease is held, and a VM joins a group only after it has reported itself idle. It waits
+/// until the cache contains every commit of previous lease holders before it acts.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -24,20 +24,20 @@
 
 namespace cardamombay::groups {
 
-/// \brief Live state of a group, for status pages and metrics.
+/// \brief Current state of a group, for status pages and metrics.
 struct GroupStatus
 {
     GroupRow row_;
     GroupPhase phase_ = GroupPhase::Forming;
     TimePoint phaseSince_{};
-    std::vector<VmId> missing_; ///< Members not heard of or reporting something else.
+    std::vector<VmId> missing_; ///< Members that do not report this formation as ready.
 };
 
-/// \brief Planner side of one fabric domain; works only while its lease is held.
+/// \brief Group manager of one fabric domain; acts only while it holds the planner lease.
 /// \code
 /// GroupManager manager(clock, store, orders, lease, decisions, settings, self, incarnation,
 ///                      program);
-/// manager.tick({configuration, zone, engines, &watcher, &board}); // about twice a second
+/// manager.tick({configuration, zone, engines, &watcher, &cache}); // about twice a second
 /// \endcode
 class GroupManager
 {
@@ -50,10 +50,10 @@
     GroupManager &operator=(const GroupManager &) = delete;
     ~GroupManager();
 
-    /// \brief Looks at everything once, and orders and commits what is due.
+    /// \brief Evaluates the input once, and sends the orders and commits that are due.
     void tick(const PlanInput &input);
 
-    /// \brief Live state of the domain's groups; empty while the lease is not held.
+    /// \brief State of the domain's groups; empty once a tick found the lease not held.
     [[nodiscard]] std::vector<GroupStatus> groups() const;
 
 private:
--- a/include/cardamombay/groups/group_state_machine.hpp
+++ b/include/cardamombay/groups/group_state_machine.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief The state machine of one formation of a group.
-/// \details Decides the phase of a formation from events, by charts/group.toml. It guards the
-/// promise that no incomplete group serves: a lost or contradicting member ends the phase Serving.
-/// It gives no orders and writes no rows.
+/// \brief State machine of one formation of a group.
+/// \details Runs charts/group.toml, which derives the phase of a formation from events. It enforces
+/// that no incomplete group serves: a lost or mismatched member ends the phase Serving. It sends no
+/// orders and writes no rows.
 #pragma once
 
 #include <cardamombay/chart/machine.hpp>
@@ -19,35 +19,35 @@
 
 class GroupStateMachine;
 
-/// \brief charts/group.toml with its code; made once and shared by all groups of a process.
+/// \brief charts/group.toml bound to its actions; shared by all groups of a process.
 using GroupProgramPtr = chart::ProgramPtr<GroupStateMachine>;
 
-/// \brief What the members of a group are to be brought to.
+/// \brief State that the members of a group are to be ordered into.
 enum class MemberTarget { Nothing, Assigned, Drained };
 
-/// \brief One formation of a group; holds the phase, gives no orders.
+/// \brief Phase of one formation of a group, and the target state of its members.
 class GroupStateMachine
 {
 public:
     GroupStateMachine(GroupRow row, GroupProgramPtr program, DecisionSink &decisions,
                       TimePoint now);
 
-    /// \brief Joins \p chart, read from charts/group.toml, with the code.
+    /// \brief Binds the actions to \p chart, which is read from charts/group.toml.
     [[nodiscard]] static Result<GroupProgramPtr> bind(const chart::Chart &chart);
 
-    /// \brief Handles an event of the chart at \p now.
+    /// \brief Handles a chart event that occurred at \p now.
     void handle(std::string_view event, TimePoint now);
 
-    /// \brief Takes over a newer row of the same formation.
+    /// \brief Replaces the row by a newer one of the same formation.
     void setRow(GroupRow row) { row_ = std::move(row); }
 
     [[nodiscard]] const GroupRow &row() const { return row_; }
     [[nodiscard]] GroupPhase phase() const;
     [[nodiscard]] TimePoint phaseSince() const { return phaseSince_; }
     [[nodiscard]] MemberTarget target() const { return target_; }
-    /// \brief Instant since which members have been asked to confirm their state.
-    [[nodiscard]] TimePoint askedSince() const { return askedSince_; }
-    /// \brief Why the group degraded last; for status pages.
+    /// \brief Start of the last verification; only replies to later probes count for it.
+    [[nodiscard]] TimePoint verifyingSince() const { return verifyingSince_; }
+    /// \brief Reason of the last change to Degraded; for status pages.
     [[nodiscard]] const std::string &cause() const { return cause_; }
     void setCause(std::string cause) { cause_ = std::move(cause); }
 
@@ -59,7 +59,7 @@
     DecisionSink &decisions_;
     TimePoint now_{};
     TimePoint phaseSince_{};
-    TimePoint askedSince_{};
+    TimePoint verifyingSince_{};
     MemberTarget target_ = MemberTarget::Nothing;
     std::string cause_;
 };
--- a/include/cardamombay/groups/manager_settings.hpp
+++ b/include/cardamombay/groups/manager_settings.hpp
@@ -1,23 +1,29 @@
 /// \file
-/// \brief Durations of the group manager.
-/// \details Values only; the waits among them keep orders of two planners and work for a group that
-/// drains apart.
+/// \brief Timing parameters of the group manager.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
 
 namespace cardamombay::groups {
 
-/// \brief Durations of the group manager.
+/// \brief Timing parameters of the group manager.
 struct ManagerSettings
 {
-    Duration orderMargin_ = std::chrono::seconds(2);    ///< Rest of the lease that an order needs.
-    Duration resendEvery_ = std::chrono::seconds(2);    ///< Order without visible effect.
-    Duration trustAnswerFor_ = std::chrono::seconds(3); ///< Engine's answer to an own order.
-    Duration stopSurvivorsAfter_ = std::chrono::seconds(60); ///< Then members are told to drain.
-    Duration vetoSpread_ = std::chrono::seconds(3); ///< Until all routers know that a group drains.
-    Duration commitRetry_ = std::chrono::seconds(1); ///< Least pause after the store failed.
-    Duration warmUp_ = std::chrono::seconds(5);      ///< A new planner listens before it plans.
+    /// Remaining lease time needed to send an order, so that it arrives before another planner's.
+    Duration orderMargin_ = std::chrono::seconds(2);
+    /// Interval at which an order without visible effect is sent again.
+    Duration resendInterval_ = std::chrono::seconds(2);
+    /// How long the reply to an order or probe counts as a fresh observation.
+    Duration replyFreshFor_ = std::chrono::seconds(3);
+    /// Time in Degraded after which the remaining members are ordered to drain.
+    Duration stopSurvivorsAfter_ = std::chrono::seconds(60);
+    /// Time until all routers know that a group drains and send it no more requests.
+    Duration drainPropagationTime_ = std::chrono::seconds(3);
+    /// Least pause after a commit failed for any reason but a conflict; a random pause of up to the
+    /// same length is added.
+    Duration minCommitBackoff_ = std::chrono::seconds(1);
+    /// Time for which a new planner only observes before it plans.
+    Duration warmUpTime_ = std::chrono::seconds(5);
 };
 
 } // namespace cardamombay::groups
--- a/include/cardamombay/groups/plan_input.hpp
+++ b/include/cardamombay/groups/plan_input.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief What a group manager is given at each tick.
-/// \details Values and references that stay valid during the tick only. It decides nothing.
+/// \brief Input of a group manager's tick.
+/// \details The pointers need to be valid during the tick only.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -13,12 +13,12 @@
 
 namespace cardamombay::groups {
 
-/// \brief Knowledge of an entry VM about one fabric domain and the availability zone around it.
+/// \brief What an entry VM knows about an availability zone.
 struct PlanInput
 {
     config::ConfigurationPtr configuration_;
     AvailabilityZone zone_;
-    std::vector<platform::VmRecord> vms_; ///< Engines of the whole zone, all of its domains.
+    std::vector<platform::VmRecord> vms_; ///< Engine VMs of all domains of the zone.
     const VmView *view_ = nullptr;
     GroupCache *groupCache_ = nullptr;
 };
--- a/include/cardamombay/groups/vm_row.hpp
+++ b/include/cardamombay/groups/vm_row.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// \brief The row of an endpoint VM: the group it is assigned to.
-/// \details Decides what of a VM's assignment is kept in the table service. A VM is free only if
-/// its row says so; this keeps it out of two groups.
+/// \brief Row of an endpoint VM, which names the group it is assigned to.
+/// \details Only a VM whose row is free or absent may be assigned, so that no VM is in two groups.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -12,7 +11,7 @@
 
 namespace cardamombay::groups {
 
-/// \brief Name of the table with a row for each VM that was ever assigned.
+/// \brief Name of the table with a row for each VM that has ever been assigned.
 inline constexpr const char *vmTable = "vms";
 
 /// \brief Assignment of a VM; a VM without a row is free.
@@ -22,7 +21,7 @@
     FabricDomain domain_;
     GroupId group_; ///< Empty if the VM is free.
     Generation generation_;
-    Epoch epoch_; ///< Of the planner lease under which it was written.
+    Epoch epoch_; ///< Epoch of the planner lease of the writer.
 
     [[nodiscard]] bool isFree() const { return group_.isEmpty(); }
     friend bool operator==(const VmRow &, const VmRow &) = default;
@@ -30,10 +29,10 @@
 
 [[nodiscard]] platform::RowKey vmKey(const VmId &vm);
 
-/// \brief JSON text of \p row.
+/// \brief Encodes \p row as JSON.
 [[nodiscard]] std::string encode(const VmRow &row);
 
-/// \brief Reads the JSON text of a VM row; MalformedMessage if it is none.
+/// \brief Decodes a VM row from JSON; MalformedMessage if that fails.
 [[nodiscard]] Result<VmRow> decodeVmRow(const std::string &text);
 
 } // namespace cardamombay::groups
--- a/include/cardamombay/groups/vm_view.hpp
+++ b/include/cardamombay/groups/vm_view.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// \brief What the watching of endpoint VMs tells the group planner.
-/// \details Seam between watching and planning. It only reports; an observation that lapsed is
-/// reported as none.
+/// \brief Interface through which the group manager reads the observed state of endpoint VMs.
+/// \details Decouples the group manager from the endpoint watcher.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -12,17 +11,17 @@
 
 namespace cardamombay::groups {
 
-/// \brief Latest knowledge of one endpoint VM.
+/// \brief Last observed state of an endpoint VM.
 struct VmObservation
 {
-    std::optional<endpoint::EndpointState> state_; ///< Last report; none if never heard.
-    TimePoint heardAt_{};      ///< When the report was made, on the local clock.
-    bool isFresh_ = false;     ///< The report is recent enough to rely on.
-    bool isLeaving_ = false;   ///< The platform is going to take the VM away.
-    bool isStraggler_ = false; ///< Alive, but much slower than its like.
+    std::optional<endpoint::EndpointState> state_; ///< Last report; none before the first.
+    TimePoint heardAt_{};                          ///< Time of the report on the local clock.
+    bool isFresh_ = false;   ///< The report is recent enough to act on; false for an outdated one.
+    bool isLeaving_ = false; ///< The VM is about to be taken away.
+    bool isStraggler_ = false; ///< Much slower than comparable VMs.
 };
 
-/// \brief Source of observations; the endpoint watcher implements it.
+/// \brief Source of observations, implemented by the endpoint watcher.
 class VmView
 {
 public:
@@ -31,7 +30,7 @@
     VmView &operator=(const VmView &) = delete;
     virtual ~VmView() = default;
 
-    /// \brief Latest observation of \p vm; a default one if nothing is known.
+    /// \brief Last observation of \p vm, or a default one if there is none.
     [[nodiscard]] virtual VmObservation observe(const VmId &vm) const = 0;
 };
 
--- a/src/groups/group_cache.cpp
+++ b/src/groups/group_cache.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 template<typename Id, typename Content>
-bool moveForward(std::map<Id, Versioned<Content>> &rows, const Id &id, const Content &content,
-                 RowVersion version)
+bool updateIfNewer(std::map<Id, Versioned<Content>> &rows, const Id &id, const Content &content,
+                   RowVersion version)
 {
     auto &slot = rows[id];
     if (version <= slot.version_)
@@ -34,9 +34,9 @@
     , random_(random)
     , settings_(settings)
     , refreshedAt_(clock.now())
-    , delay_(settings.refreshEvery_)
+    , delay_(settings.refreshInterval_)
 {
-    // VMs last: a VM row is then never older than the group row that names it.
+    // VMs are read last, so that a VM row is never older than the group row that names it.
     cursors_.push_back(Cursor{groupTable, {}, {}, {}});
     cursors_.push_back(Cursor{vmTable, {}, {}, {}});
 }
@@ -55,10 +55,10 @@
 void GroupCache::refresh()
 {
     if (!isRefreshing_)
-        arm(Duration::zero());
+        scheduleRefresh(Duration::zero());
 }
 
-void GroupCache::arm(Duration delay)
+void GroupCache::scheduleRefresh(Duration delay)
 {
     clock_.cancel(timer_);
     timer_ = clock_.schedule(delay, [this] {
@@ -85,32 +85,32 @@
     platform::Scan scan;
     scan.table_ = cursor.table_;
     scan.after_ = cursor.after_;
-    scan.changedAfter_ = cursor.completeTo_;
-    auto taken
+    scan.changedAfter_ = cursor.syncedVersion_;
+    auto onPage
         = [this, alive = std::weak_ptr<bool>(isAlive_)](const Result<platform::ScanPage> &result) {
               if (alive.expired())
                   return;
               if (isOk(result))
-                  take(valueOf(result));
+                  merge(valueOf(result));
               else
-                  fail();
+                  retryLater();
           };
-    store_.scan(std::move(scan), std::move(taken));
+    store_.scan(std::move(scan), std::move(onPage));
 }
 
-void GroupCache::take(const platform::ScanPage &page)
+void GroupCache::merge(const platform::ScanPage &page)
 {
     Cursor &cursor = cursors_[scanning_];
     if (cursor.after_.empty())
-        cursor.next_ = page.storeVersion_; // Later pages may miss what changed since the first.
+        cursor.next_ = page.storeVersion_; // Later pages may miss changes made after the first.
     for (const platform::Row &row : page.rows_)
-        take(row);
+        merge(row);
     if (!page.isLast_ && !page.rows_.empty()) {
         cursor.after_ = page.rows_.back().key_.key_;
         scanNext();
         return;
     }
-    cursor.completeTo_ = std::max(cursor.completeTo_, cursor.next_);
+    cursor.syncedVersion_ = std::max(cursor.syncedVersion_, cursor.next_);
     ++scanning_;
     if (scanning_ < cursors_.size())
         scanNext();
@@ -118,7 +118,7 @@
         finish();
 }
 
-void GroupCache::take(const platform::Row &row)
+void GroupCache::merge(const platform::Row &row)
 {
     if (row.key_.table_ == groupTable) {
         const Result<GroupRow> decoded = decodeGroupRow(row.value_);
@@ -133,20 +133,20 @@
 
 void GroupCache::apply(const GroupRow &row, RowVersion version)
 {
-    hasChanged_ |= moveForward(groups_, row.group_, row, version);
+    hasChanged_ |= updateIfNewer(groups_, row.group_, row, version);
 }
 
 void GroupCache::apply(const VmRow &row, RowVersion version)
 {
-    hasChanged_ |= moveForward(vms_, row.vm_, row, version);
+    hasChanged_ |= updateIfNewer(vms_, row.vm_, row, version);
 }
 
-void GroupCache::fail()
+void GroupCache::retryLater()
 {
     isRefreshing_ = false;
-    delay_ = std::min(delay_ * 2, settings_.longestRetryDelay_);
+    delay_ = std::min(delay_ * 2, settings_.maxRetryDelay_);
     if (isStarted_)
-        arm(std::chrono::duration_cast<Duration>(delay_ * (0.5 + random_.unit())));
+        scheduleRefresh(std::chrono::duration_cast<Duration>(delay_ * (0.5 + random_.unit())));
 }
 
 void GroupCache::finish()
@@ -154,9 +154,10 @@
     isRefreshing_ = false;
     hasBeenRefreshed_ = true;
     refreshedAt_ = startedAt_;
-    delay_ = settings_.refreshEvery_;
+    delay_ = settings_.refreshInterval_;
     if (isStarted_)
-        arm(std::chrono::duration_cast<Duration>(delay_ * (0.9 + 0.2 * random_.unit())));
+        scheduleRefresh(
+            std::chrono::duration_cast<Duration>(delay_ * (0.9 + 0.2 * random_.unit())));
     if (std::exchange(hasChanged_, false) && changed_)
         changed_();
 }
@@ -181,9 +182,9 @@
     return found;
 }
 
-RowVersion GroupCache::completeTo() const
+RowVersion GroupCache::syncedVersion() const
 {
-    return std::min(cursors_.front().completeTo_, cursors_.back().completeTo_);
+    return std::min(cursors_.front().syncedVersion_, cursors_.back().syncedVersion_);
 }
 
 } // namespace cardamombay::groups
--- a/src/groups/group_manager.cpp
+++ b/src/groups/group_manager.cpp
@@ -1,11 +1,11 @@
 #include <cardamombay/groups/group_manager.hpp>
 
-#include "domain_view.hpp"
-#include "group_lives.hpp"
+#include "group_tracker.hpp"
 #include "member_orders.hpp"
-#include "order_desk.hpp"
-#include "plan_survey.hpp"
+#include "order_sender.hpp"
+#include "plan_state_builder.hpp"
 #include "row_writer.hpp"
+#include "zone_snapshot.hpp"
 
 #include <cardamombay/groups/events.hpp>
 #include <cardamombay/planning/return_history.hpp>
@@ -16,11 +16,11 @@
 
 namespace cardamombay::groups {
 
-using impl::DomainView;
+using impl::ZoneSnapshot;
 using planning::PlanAction;
 using planning::PlanDecision;
 
-/// Everything of a manager; one tenure's knowledge is dropped with the tenure.
+/// Implementation of a manager; state is discarded at the end of a tenure.
 class GroupManager::Impl
 {
 public:
@@ -33,33 +33,33 @@
         , decisions_(decisions)
         , settings_(settings)
         , planner_(std::move(planner))
-        , desk_(clock, orders, lease, decisions, settings_)
+        , sender_(clock, orders, lease, decisions, settings_)
         , writer_(clock, store, lease, decisions, settings_, self, incarnation)
-        , members_(desk_, writer_, lease.domain())
-        , lives_(clock, decisions, settings_, lease.domain(), std::move(program), desk_, members_,
-                 writer_)
+        , members_(sender_, writer_, lease.domain())
+        , tracker_(clock, decisions, settings_, lease.domain(), std::move(program), sender_,
+                   members_, writer_)
         , returns_(lease.domain())
     {
     }
 
     void tick(const PlanInput &input);
-    [[nodiscard]] std::vector<GroupStatus> groups() const { return lives_.statuses(); }
+    [[nodiscard]] std::vector<GroupStatus> groups() const { return tracker_.statuses(); }
 
 private:
     /// \name Tenure
     /// \{
     [[nodiscard]] bool hasTenure(const PlanInput &input);
     void beginTenure();
-    void dropTenure();
+    void endTenure();
     /// \}
 
     /// \name Rows
     /// \{
-    void freeOldRows(const PlanInput &input);
-    void plan(const PlanInput &input, const DomainView &view);
-    void carryOut(const PlanDecision &decision, const PlanInput &input);
+    void freeStaleRows(const PlanInput &input);
+    void plan(const PlanInput &input, const ZoneSnapshot &snapshot);
+    void execute(const PlanDecision &decision, const PlanInput &input);
     void form(const PlanDecision &decision, const PlanInput &input);
-    void note(const PlanDecision &decision);
+    void recordDecision(const PlanDecision &decision);
     /// \}
 
     Clock &clock_;
@@ -67,46 +67,46 @@
     DecisionSink &decisions_;
     ManagerSettings settings_;
     planning::Planner planner_;
-    impl::OrderDesk desk_;
+    impl::OrderSender sender_;
     impl::RowWriter writer_;
     impl::MemberOrders members_;
-    impl::GroupLives lives_;
+    impl::GroupTracker tracker_;
     planning::ReturnHistory returns_;
-    std::map<GroupId, std::string> noted_;
+    std::map<GroupId, std::string> recordedChoices_;
     Epoch tenure_;
     TimePoint tenureSince_{};
 };
 
 void GroupManager::Impl::tick(const PlanInput &input)
 {
-    const bool knowsVms = !input.vms_.empty();
-    if (!hasTenure(input) || !knowsVms)
+    const bool hasVms = !input.vms_.empty();
+    if (!hasTenure(input) || !hasVms)
         return;
     members_.setConfiguration(input.configuration_);
-    writer_.setBoard(input.groupCache_);
-    lives_.follow(*input.groupCache_);
-    const DomainView view(input, desk_, clock_.now(), settings_);
-    lives_.advance(view, input.configuration_->planner_.concurrentLoads_);
-    for (const auto &[group, life] : lives_.all())
-        members_.bring(life, view);
-    members_.releaseStrays(*input.groupCache_, view);
-    if (writer_.isPausing())
+    writer_.setGroupCache(input.groupCache_);
+    tracker_.sync(*input.groupCache_);
+    const ZoneSnapshot snapshot(input, sender_, clock_.now(), settings_);
+    tracker_.advance(snapshot, input.configuration_->planner_.concurrentLoads_);
+    for (const auto &[group, machine] : tracker_.all())
+        members_.sendDueOrders(machine, snapshot);
+    members_.releaseStale(*input.groupCache_, snapshot);
+    if (writer_.isBackingOff())
         return;
-    freeOldRows(input);
-    if (clock_.now() >= tenureSince_ + settings_.warmUp_)
-        plan(input, view);
+    freeStaleRows(input);
+    if (clock_.now() >= tenureSince_ + settings_.warmUpTime_)
+        plan(input, snapshot);
 }
 
-/// True if the lease is held and the board has every commit of the planners before.
+/// True if the lease is held and the cache has every commit of previous lease holders.
 bool GroupManager::Impl::hasTenure(const PlanInput &input)
 {
     if (!lease_.isHeld()) {
-        dropTenure();
+        endTenure();
         return false;
     }
     if (tenure_ != lease_.epoch())
         beginTenure();
-    if (input.configuration_ && input.groupCache_->completeTo() >= lease_.epochVersion())
+    if (input.configuration_ && input.groupCache_->syncedVersion() >= lease_.epochVersion())
         return true;
     input.groupCache_->refresh();
     return false;
@@ -114,7 +114,7 @@
 
 void GroupManager::Impl::beginTenure()
 {
-    dropTenure();
+    endTenure();
     tenure_ = lease_.epoch();
     tenureSince_ = clock_.now();
     decisions_.record({clock_.now(),
@@ -125,54 +125,54 @@
                        {}});
 }
 
-void GroupManager::Impl::dropTenure()
+void GroupManager::Impl::endTenure()
 {
     tenure_ = Epoch{};
-    lives_.clear();
-    noted_.clear();
-    desk_.clear();
+    tracker_.clear();
+    recordedChoices_.clear();
+    sender_.clear();
     writer_.clear();
     returns_.clear();
 }
 
-/// Frees VM rows of the domain whose formation is over, such as after the slot moved away.
-void GroupManager::Impl::freeOldRows(const PlanInput &input)
+/// Frees VM rows of the domain that name a former formation, such as after the slot has moved.
+void GroupManager::Impl::freeStaleRows(const PlanInput &input)
 {
-    constexpr std::size_t mostAtOnce = 64;
-    std::vector<VmId> over;
+    constexpr std::size_t maxRowsPerTick = 64;
+    std::vector<VmId> stale;
     for (const auto &[id, row] : input.groupCache_->vms()) {
         const bool isOwn = row.content_.domain_ == lease_.domain();
         if (!isOwn || row.content_.isFree() || writer_.isReserved(id))
             continue;
         const auto *group = input.groupCache_->group(row.content_.group_);
         if (group == nullptr || group->content_.generation_ < row.content_.generation_)
-            continue; // Its group row is not known yet.
+            continue; // Its group row is not cached yet.
         const bool isCurrent = group->content_.generation_ == row.content_.generation_
                                && !group->content_.isFreeSlot();
-        if (!isCurrent && over.size() < mostAtOnce)
-            over.push_back(id);
+        if (!isCurrent && stale.size() < maxRowsPerTick)
+            stale.push_back(id);
     }
-    if (!over.empty())
-        writer_.freeVms(over);
+    if (!stale.empty())
+        writer_.freeVms(stale);
 }
 
-void GroupManager::Impl::plan(const PlanInput &input, const DomainView &view)
+void GroupManager::Impl::plan(const PlanInput &input, const ZoneSnapshot &snapshot)
 {
-    planning::PlanState state = impl::surveyOf(
-        {input, view, writer_, lives_.all(), lease_.domain(), clock_.now(), tenureSince_});
+    planning::PlanState state = impl::buildPlanState(
+        {input, snapshot, writer_, tracker_.all(), lease_.domain(), clock_.now(), tenureSince_});
     returns_.observe(state, clock_.now());
     state.policy_ = returns_.adjusted(state.policy_);
     for (const PlanDecision &decision : planner_.plan(state)) {
-        note(decision);
-        carryOut(decision, input);
+        recordDecision(decision);
+        execute(decision, input);
     }
 }
 
-void GroupManager::Impl::carryOut(const PlanDecision &decision, const PlanInput &input)
+void GroupManager::Impl::execute(const PlanDecision &decision, const PlanInput &input)
 {
     if (!lease_.isHeldFor(settings_.orderMargin_) || writer_.isBusy(decision.group_))
         return;
-    GroupStateMachine *life = lives_.find(decision.group_);
+    GroupStateMachine *machine = tracker_.find(decision.group_);
     switch (decision.action_) {
     case PlanAction::Wait:
         return;
@@ -182,14 +182,14 @@
         form(decision, input);
         return;
     case PlanAction::Drain:
-        if (life != nullptr)
-            writer_.drain(life->row(), decision.reason_);
+        if (machine != nullptr)
+            writer_.drain(machine->row(), decision.reason_);
         return;
     case PlanAction::Dissolve:
-        if (life == nullptr)
+        if (machine == nullptr)
             return;
-        life->handle("dissolve-requested", clock_.now());
-        writer_.dissolve(life->row(), decision.reason_);
+        machine->handle("dissolve-requested", clock_.now());
+        writer_.dissolve(machine->row(), decision.reason_);
         return;
     }
 }
@@ -211,11 +211,11 @@
     writer_.form(std::move(row));
 }
 
-/// Records a decision when it differs from the last one about the group.
-void GroupManager::Impl::note(const PlanDecision &decision)
+/// Records a decision, except for a Wait that repeats the group's last recorded decision.
+void GroupManager::Impl::recordDecision(const PlanDecision &decision)
 {
     std::string choice = std::string(nameOf(decision.action_)) + " " + decision.reason_;
-    std::string &last = noted_[decision.group_];
+    std::string &last = recordedChoices_[decision.group_];
     if (last == choice && decision.action_ == PlanAction::Wait)
         return;
     last = choice;
--- a/src/groups/group_row.cpp
+++ b/src/groups/group_row.cpp
@@ -44,7 +44,7 @@
 {
     const auto index = indexOf(names, textAt(object, key));
     if (!index)
-        throw std::invalid_argument("unknown " + std::string(key));
+        throw std::invalid_argument("unknown value of field " + std::string(key));
     return *index;
 }
 
--- a/src/groups/group_state_machine.cpp
+++ b/src/groups/group_state_machine.cpp
@@ -25,22 +25,25 @@
                     "member-mismatched", "stop-due", "drain-committed", "drained",
                     "dissolve-requested", "dissolve-committed"});
     binding.action("want-nothing",
-                   [](GroupStateMachine &life) { life.target_ = MemberTarget::Nothing; });
+                   [](GroupStateMachine &machine) { machine.target_ = MemberTarget::Nothing; });
     binding.action("want-assigned",
-                   [](GroupStateMachine &life) { life.target_ = MemberTarget::Assigned; });
+                   [](GroupStateMachine &machine) { machine.target_ = MemberTarget::Assigned; });
     binding.action("want-drained",
-                   [](GroupStateMachine &life) { life.target_ = MemberTarget::Drained; });
-    binding.action("ask-members", [](GroupStateMachine &life) { life.askedSince_ = life.now_; });
-    binding.action("record-serving",
-                   [](GroupStateMachine &life) { life.record(events::groupServing, "verified"); });
-    binding.action("record-degraded", [](GroupStateMachine &life) {
-        life.record(events::groupDegraded, life.cause_);
+                   [](GroupStateMachine &machine) { machine.target_ = MemberTarget::Drained; });
+    binding.action("ask-members",
+                   [](GroupStateMachine &machine) { machine.verifyingSince_ = machine.now_; });
+    binding.action("record-serving", [](GroupStateMachine &machine) {
+        machine.record(events::groupServing, "verified");
     });
-    binding.action("record-draining", [](GroupStateMachine &life) {
-        life.record(events::groupDraining, life.row_.reason_);
+    binding.action("record-degraded", [](GroupStateMachine &machine) {
+        machine.record(events::groupDegraded, machine.cause_);
+    });
+    binding.action("record-draining", [](GroupStateMachine &machine) {
+        machine.record(events::groupDraining, machine.row_.reason_);
+    });
+    binding.action("record-dissolved", [](GroupStateMachine &machine) {
+        machine.record(events::groupDissolved, "done");
     });
-    binding.action("record-dissolved",
-                   [](GroupStateMachine &life) { life.record(events::groupDissolved, "done"); });
     return chart::bind(chart, std::move(binding));
 }
 
--- a/src/groups/member_orders.cpp
+++ b/src/groups/member_orders.cpp
@@ -7,53 +7,51 @@
 using endpoint::EndpointOrder;
 using endpoint::OrderKind;
 
-MemberOrders::MemberOrders(OrderDesk &desk, const RowWriter &writer, FabricDomain domain)
-    : desk_(desk)
+MemberOrders::MemberOrders(OrderSender &sender, const RowWriter &writer, FabricDomain domain)
+    : sender_(sender)
     , writer_(writer)
     , domain_(std::move(domain))
 {
 }
 
-void MemberOrders::ask(const ZoneVm &vm, const GroupId &group)
+void MemberOrders::probe(const ZoneVm &vm, const GroupId &group)
 {
-    desk_.probe(targetOf(vm, group));
+    sender_.probe(targetOf(vm, group));
 }
 
-/// Brings the members to the target of their group, as far as they are not there yet.
-void MemberOrders::bring(const GroupStateMachine &life, const DomainView &view)
+void MemberOrders::sendDueOrders(const GroupStateMachine &machine, const ZoneSnapshot &snapshot)
 {
-    if (life.target() == MemberTarget::Nothing)
+    if (machine.target() == MemberTarget::Nothing)
         return;
-    const GroupRow &row = life.row();
-    const bool assigns = life.target() == MemberTarget::Assigned;
+    const GroupRow &row = machine.row();
+    const bool isAssigning = machine.target() == MemberTarget::Assigned;
     EndpointOrder order;
-    order.kind_ = assigns ? OrderKind::Assign : OrderKind::Drain;
+    order.kind_ = isAssigning ? OrderKind::Assign : OrderKind::Drain;
     order.model_ = row.model_;
     order.role_ = row.role_;
     order.members_ = row.members_;
     for (const VmId &member : row.members_) {
-        const MemberStanding standing = view.standing(row, member);
-        const bool isDue
-            = assigns ? standing == MemberStanding::Unassigned
-                      : standing == MemberStanding::Ready || standing == MemberStanding::Loading;
+        const MemberStatus status = snapshot.memberStatus(row, member);
+        const bool isDue = isAssigning
+                               ? status == MemberStatus::Unassigned
+                               : status == MemberStatus::Ready || status == MemberStatus::Loading;
         if (!isDue)
             continue;
         order.assignment_ = {row.group_, row.generation_, row.rankOf(member).value_or(0)};
-        desk_.send(targetOf(*view.vm(member), row.group_), order);
+        sender_.send(targetOf(*snapshot.vm(member), row.group_), order);
     }
 }
 
-/// Releases VMs of the domain that report a formation their row does not name.
-void MemberOrders::releaseStrays(const GroupCache &board, const DomainView &view)
+void MemberOrders::releaseStale(const GroupCache &groupCache, const ZoneSnapshot &snapshot)
 {
-    for (const auto &[id, vm] : view.vms()) {
+    for (const auto &[id, vm] : snapshot.vms()) {
         const bool isOwn = vm.record_.domain_ == domain_;
         if (!isOwn || !vm.isHealthy() || !vm.observation_.state_->assignment_
             || writer_.isReserved(id))
             continue;
         const endpoint::Assignment &reported = *vm.observation_.state_->assignment_;
-        const auto *row = board.vm(id);
-        const auto *group = board.group(reported.group_);
+        const auto *row = groupCache.vm(id);
+        const auto *group = groupCache.group(reported.group_);
         const bool isRowSame = row != nullptr && row->content_.group_ == reported.group_
                                && row->content_.generation_ == reported.generation_;
         const bool isCurrent = group != nullptr && !group->content_.isFreeSlot()
@@ -63,7 +61,7 @@
         EndpointOrder order;
         order.kind_ = OrderKind::Release;
         order.assignment_ = reported;
-        desk_.send(targetOf(vm, reported.group_), order);
+        sender_.send(targetOf(vm, reported.group_), order);
     }
 }
 
@@ -78,7 +76,7 @@
     return target;
 }
 
-/// A service that is not configured any longer is taken as one whose engines do not check.
+/// The engines of a service that is no longer configured are assumed not to check.
 bool MemberOrders::checksFencing(const GroupId &group) const
 {
     const std::string &text = group.text();
--- a/src/groups/plan_survey.cpp
+++ b/src/groups/plan_state_builder.cpp
@@ -1,4 +1,4 @@
-#include "plan_survey.hpp"
+#include "plan_state_builder.hpp"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-PlannedVm summaryOf(const ZoneVm &vm, const SurveySources &sources)
+PlannedVm summarize(const ZoneVm &vm, const PlanStateSources &sources)
 {
     const auto *row = sources.input_.groupCache_->vm(vm.record_.id_);
     PlannedVm summary;
@@ -29,25 +29,25 @@
     return summary;
 }
 
-/// Phase of a group that another planner carries, as far as it can be told from outside.
-GroupPhase outerPhase(const GroupRow &row, const DomainView &view)
+/// Infers the phase of a group that another planner manages from its row and its members' reports.
+GroupPhase inferPhase(const GroupRow &row, const ZoneSnapshot &snapshot)
 {
     if (!row.isActive())
         return row.phase_;
-    if (view.count(row, MemberStanding::Lost) > 0)
+    if (snapshot.count(row, MemberStatus::Lost) > 0)
         return GroupPhase::Degraded;
-    const bool isReady = view.count(row, MemberStanding::Ready) == row.members_.size();
+    const bool isReady = snapshot.count(row, MemberStatus::Ready) == row.members_.size();
     return isReady ? GroupPhase::Serving : GroupPhase::Loading;
 }
 
-/// True if all members are there, but not all of them as the formation needs them.
-bool needsReset(const GroupRow &row, const DomainView &view)
+/// True if all members are healthy, but not all are ready in this formation.
+bool needsReset(const GroupRow &row, const ZoneSnapshot &snapshot)
 {
-    return view.count(row, MemberStanding::Lost) == 0
-           && view.count(row, MemberStanding::Ready) < row.members_.size();
+    return snapshot.count(row, MemberStatus::Lost) == 0
+           && snapshot.count(row, MemberStatus::Ready) < row.members_.size();
 }
 
-PlannedGroup summaryOf(const GroupRow &row, const SurveySources &sources)
+PlannedGroup summarize(const GroupRow &row, const PlanStateSources &sources)
 {
     PlannedGroup summary;
     summary.group_ = row.group_;
@@ -57,14 +57,14 @@
     summary.vmsPerReplica_ = row.vmsPerReplica_;
     summary.model_ = row.model_;
     summary.isBusy_ = sources.writer_.isBusy(row.group_);
-    const auto life = sources.lives_.find(row.group_);
-    if (life == sources.lives_.end()) {
-        summary.phase_ = outerPhase(row, sources.view_);
+    const auto machine = sources.machines_.find(row.group_);
+    if (machine == sources.machines_.end()) {
+        summary.phase_ = inferPhase(row, sources.snapshot_);
         return summary;
     }
-    summary.phase_ = life->second.phase();
-    summary.timeInPhase_ = sources.now_ - life->second.phaseSince();
-    summary.needsReset_ = needsReset(row, sources.view_);
+    summary.phase_ = machine->second.phase();
+    summary.timeInPhase_ = sources.now_ - machine->second.phaseSince();
+    summary.needsReset_ = needsReset(row, sources.snapshot_);
     return summary;
 }
 
@@ -80,17 +80,17 @@
 
 } // namespace
 
-planning::PlanState surveyOf(const SurveySources &sources)
+planning::PlanState buildPlanState(const PlanStateSources &sources)
 {
     planning::PlanState state;
     state.domain_ = sources.domain_;
     state.zone_ = sources.input_.zone_;
     state.policy_ = sources.input_.configuration_->planner_;
-    for (const auto &[id, vm] : sources.view_.vms())
-        state.vms_.push_back(summaryOf(vm, sources));
+    for (const auto &[id, vm] : sources.snapshot_.vms())
+        state.vms_.push_back(summarize(vm, sources));
     for (const auto &[id, row] : sources.input_.groupCache_->groups()) {
         if (row.content_.zone_ == state.zone_ && !row.content_.isFreeSlot())
-            state.groups_.push_back(summaryOf(row.content_, sources));
+            state.groups_.push_back(summarize(row.content_, sources));
     }
     for (const auto &[group, service] : sources.writer_.formingSlots()) {
         const auto *row = sources.input_.groupCache_->group(group);
--- a/src/groups/row_writer.cpp
+++ b/src/groups/row_writer.cpp
@@ -125,9 +125,9 @@
     }
     groupCache_->refresh();
     if (!isError<StoreConflict>(result)) {
-        resumeAt_
-            = clock_.now()
-              + std::chrono::duration_cast<Duration>(settings_.commitRetry_ * (1 + random_.unit()));
+        resumeAt_ = clock_.now()
+                    + std::chrono::duration_cast<Duration>(settings_.minCommitBackoff_
+                                                           * (1 + random_.unit()));
     }
     decisions_.record({clock_.now(),
                        events::commitFailed,
--- a/src/groups/row_writer.hpp
+++ b/src/groups/row_writer.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Transactions that change which VMs belong to which group.
+/// \brief Commits the transactions that change which VMs belong to which group.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -18,10 +18,9 @@
 
 namespace cardamombay::groups::impl {
 
-/// \brief Writes group rows with the rows of their VMs, each change in one transaction.
-/// \details Each transaction has conditions on the epoch of the planner lease, on the group row
-/// and on every VM row it writes. So a transaction of a former planner, or one that arrives late,
-/// changes nothing.
+/// \brief Writes a group row together with the rows of its VMs in one transaction.
+/// \details Each transaction is conditioned on the epoch of the planner lease, on the group row
+/// and on every VM row it writes, so that a late transaction or one of a former lease holder fails.
 class RowWriter
 {
 public:
@@ -29,36 +28,36 @@
               DecisionSink &decisions, const ManagerSettings &settings, const EntryId &self,
               Incarnation incarnation);
 
-    /// \brief Board that the conditions are taken from; to be set before each use.
-    void setBoard(GroupCache *board) { groupCache_ = board; }
+    /// \brief Sets the cache that provides the row versions of the conditions; required before use.
+    void setGroupCache(GroupCache *groupCache) { groupCache_ = groupCache; }
 
     /// \brief Writes the next formation of a slot.
-    /// \param row the formation; generation and epoch are filled in.
+    /// \param row the formation; form() sets its generation and epoch.
     void form(GroupRow row);
 
-    /// \brief Writes the row as draining.
+    /// \brief Sets the phase of the row to draining.
     void drain(const GroupRow &row, std::string reason);
 
     /// \brief Frees the slot and its VMs.
     void dissolve(const GroupRow &row, std::string reason);
 
-    /// \brief Frees VM rows that name a formation which is over.
+    /// \brief Frees VM rows that name a former formation.
     void freeVms(const std::vector<VmId> &vms);
 
-    /// \name Under way
+    /// \name Pending transactions
     /// \{
     [[nodiscard]] bool isBusy(const GroupId &group) const { return busyGroups_.contains(group); }
-    /// \brief True while the table service is given time after it failed.
-    [[nodiscard]] bool isPausing() const { return clock_.now() < resumeAt_; }
+    /// \brief True during the backoff after a failure of the table service.
+    [[nodiscard]] bool isBackingOff() const { return clock_.now() < resumeAt_; }
     [[nodiscard]] bool isReserved(const VmId &vm) const { return busyVms_.contains(vm); }
     [[nodiscard]] const std::map<GroupId, ServiceName> &formingSlots() const { return forming_; }
     /// \}
 
-    /// \brief Forgets everything, as at the begin of a tenure.
+    /// \brief Discards all state, at the start or end of a tenure.
     void clear();
 
 private:
-    /// One change on its way to the table service.
+    /// Rows of one transaction, and the event to record when it is committed.
     struct Change
     {
         const char *event_ = "";
--- a/tests/groups/explorer.cpp
+++ b/tests/groups/explorer.cpp
@@ -1,4 +1,5 @@
-/// Seeded random interleavings of faults over a zone of two domains with two planners each.
+/// Random sequences of faults in a zone of two domains with two planners each, reproducible by
+/// seed.
 #include "support/planner_fleet.hpp"
 
 #include <cstdlib>
@@ -26,7 +27,7 @@
 
     void step()
     {
-        act();
+        injectFault();
         fleet_.advance(milliseconds(random_.below(4000)));
     }
 
@@ -41,15 +42,15 @@
             node->orders_.losesAnswers_ = false;
         }
         for (const VmId &vm : std::set<VmId>(fleet_.dead_))
-            wake(vm);
+            bringBack(vm);
         fleet_.advance(minutes(6));
     }
 
-    /// True if no manager that holds its lease calls a group serving whose member has been out
-    /// for longer than it takes to notice.
+    /// False if a manager that holds its lease reports a group as serving although one of its
+    /// members has been down for longer than detection takes.
     bool servesOnlyComplete()
     {
-        const Duration longest = std::chrono::seconds(5);
+        const Duration detectionTime = std::chrono::seconds(5);
         for (const VmId &vm : fleet_.dead_)
             deadSince_.try_emplace(vm, fleet_.clock_.now());
         std::erase_if(deadSince_,
@@ -61,8 +62,9 @@
                 for (const GroupStatus &status : node->manager(domain).groups()) {
                     for (const VmId &member : status.row_.members_) {
                         const auto dead = deadSince_.find(member);
-                        const bool isNoticed = dead != deadSince_.end()
-                                               && fleet_.clock_.now() > dead->second + longest;
+                        const bool isNoticed
+                            = dead != deadSince_.end()
+                              && fleet_.clock_.now() > dead->second + detectionTime;
                         if (isNoticed && status.phase_ == GroupPhase::Serving)
                             return false;
                     }
@@ -92,7 +94,7 @@
                                 static_cast<std::uint32_t>(random_.below(2)));
     }
 
-    void wake(const VmId &vm)
+    void bringBack(const VmId &vm)
     {
         if (paused_.erase(vm) > 0)
             fleet_.resumeVm(vm);
@@ -100,7 +102,7 @@
             fleet_.restart(vm);
     }
 
-    void act()
+    void injectFault()
     {
         PlannerNode &node = *fleet_.nodes_[random_.below(2)];
         const VmId vm = anyVm();
@@ -120,7 +122,7 @@
         case 3:
         case 4:
             if (isDown)
-                wake(vm);
+                bringBack(vm);
             return;
         case 5:
             node.pause();
@@ -160,7 +162,7 @@
     std::map<VmId, TimePoint> deadSince_;
 };
 
-/// CARDAMOMBAY_SEEDS=<first>:<count> explores other seeds.
+/// First seed and number of seeds; CARDAMOMBAY_SEEDS=<first>:<count> overrides the default.
 std::pair<std::uint64_t, std::uint64_t> seedRange()
 {
     const char *text = std::getenv("CARDAMOMBAY_SEEDS");
@@ -180,8 +182,8 @@
         Explorer explorer(seed);
         for (int step = 0; step < 120; ++step) {
             explorer.step();
-            cr_assert(explorer.servesOnlyComplete(), "seed %lu step %d: serves incomplete", seed,
-                      step);
+            cr_assert(explorer.servesOnlyComplete(), "seed %lu step %d: an incomplete group serves",
+                      seed, step);
             cr_assert(explorer.fleet().isExclusive(), "seed %lu step %d: VM in two groups", seed,
                       step);
         }
--- a/tests/groups/fixture.hpp
+++ b/tests/groups/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Steps that the tests of group planning share.
+/// \brief Helpers for tests of group planning.
 #pragma once
 
 #include "support/planner_fleet.hpp"
@@ -10,9 +10,9 @@
 
 namespace fixture {
 
-/// \brief A fleet whose groups have three VMs each.
-inline cardamombay::support::FleetShape shapeOf(std::uint32_t domains, std::uint32_t vmsPerDomain,
-                                                std::uint32_t replicas)
+/// \brief Shape of a fleet with groups of three VMs.
+inline cardamombay::support::FleetShape makeShape(std::uint32_t domains, std::uint32_t vmsPerDomain,
+                                                  std::uint32_t replicas)
 {
     cardamombay::support::FleetShape shape;
     shape.domains_ = domains;
@@ -22,8 +22,8 @@
     return shape;
 }
 
-/// \brief Lets \p time pass and checks all the while that no VM is in two groups.
-inline void run(cardamombay::support::PlannerFleet &fleet, cardamombay::Duration time)
+/// \brief Advances the clock in small steps and checks after each that no VM is in two groups.
+inline void advanceChecked(cardamombay::support::PlannerFleet &fleet, cardamombay::Duration time)
 {
     constexpr auto step = std::chrono::milliseconds(250);
     for (; time > cardamombay::Duration::zero(); time -= step) {
@@ -32,8 +32,8 @@
     }
 }
 
-/// \brief Waits until that many groups serve, and a little longer.
-inline void serveAll(cardamombay::support::PlannerFleet &fleet, std::uint32_t groups)
+/// \brief Advances the clock until \p groups groups serve, and 5 s more.
+inline void waitUntilServing(cardamombay::support::PlannerFleet &fleet, std::uint32_t groups)
 {
     cr_assert(fleet.advanceUntil([&] { return fleet.servingCount() == groups; },
                                  std::chrono::minutes(3)));
--- a/tests/groups/group_manager.cpp
+++ b/tests/groups/group_manager.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// One domain of seven VMs for two groups of three: one spare.
+/// One domain with two groups of three VMs and one spare.
 FleetShape smallShape()
 {
     FleetShape shape;
@@ -22,7 +22,7 @@
     return shape;
 }
 
-void serveAll(PlannerFleet &fleet, std::uint32_t groups)
+void waitUntilServing(PlannerFleet &fleet, std::uint32_t groups)
 {
     const bool isReached
         = fleet.advanceUntil([&] { return fleet.servingCount() == groups; }, minutes(3));
@@ -30,8 +30,8 @@
     fleet.advance(seconds(5));
 }
 
-/// Advances in small steps and checks at each that no VM is in two groups.
-void run(PlannerFleet &fleet, Duration time)
+/// Advances the clock in small steps and checks after each that no VM is in two groups.
+void advanceChecked(PlannerFleet &fleet, Duration time)
 {
     for (const Duration step = std::chrono::milliseconds(250); time > Duration::zero();
          time -= step) {
@@ -71,7 +71,7 @@
     PlannerFleet fleet(smallShape());
     PlannerNode &node = fleet.addNode();
 
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     cr_assert(fleet.isExclusive());
     cr_assert(phaseOf(node, 0) == GroupPhase::Serving);
@@ -103,12 +103,12 @@
 {
     PlannerFleet fleet(smallShape());
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const VmId spare = spareOf(fleet);
     const GroupRow before = *fleet.row(0);
 
     fleet.kill(before.members_[1]);
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert(fleet.isServing(0));
     cr_assert(fleet.row(0)->generation_ == before.generation_.next());
@@ -117,70 +117,70 @@
     cr_assert(fleet.vmRow(before.members_[1])->isFree());
 }
 
-Test(group_manager, pause_shorter_than_the_grace_changes_nothing)
+Test(group_manager, pause_shorter_than_the_grace_period_changes_nothing)
 {
     FleetShape shape = smallShape();
     shape.policy_.replaceGrace_ = seconds(8);
     PlannerFleet fleet(shape);
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const GroupRow before = *fleet.row(0);
 
     fleet.pauseVm(before.members_[1]);
-    run(fleet, seconds(5));
+    advanceChecked(fleet, seconds(5));
     cr_assert(phaseOf(node, 0) == GroupPhase::Degraded);
     fleet.resumeVm(before.members_[1]);
-    run(fleet, seconds(10));
+    advanceChecked(fleet, seconds(10));
 
     cr_assert(fleet.row(0)->generation_ == before.generation_);
     cr_assert(fleet.isServing(0));
 }
 
-Test(group_manager, member_back_after_its_replacement_becomes_a_spare)
+Test(group_manager, member_returning_after_its_replacement_becomes_a_spare)
 {
     PlannerFleet fleet(smallShape());
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const VmId lost = fleet.row(0)->members_[1];
     fleet.pauseVm(lost);
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
     cr_assert(fleet.isServing(0));
 
-    fleet.resumeVm(lost); // It still believes in the old formation.
-    run(fleet, seconds(10));
+    fleet.resumeVm(lost); // It still has the old assignment.
+    advanceChecked(fleet, seconds(10));
 
     cr_assert_not(fleet.endpoints_.state(lost).assignment_.has_value());
     cr_assert_eq(fleet.servingCount(), 2U);
     cr_assert(spareOf(fleet) == lost);
 }
 
-Test(group_manager, member_back_during_its_replacement_does_not_disturb_it)
+Test(group_manager, member_returning_during_its_replacement_does_not_disturb_it)
 {
     PlannerFleet fleet(smallShape());
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const VmId lost = fleet.row(0)->members_[1];
     const Generation before = fleet.row(0)->generation_;
     fleet.pauseVm(lost);
     cr_assert(fleet.advanceUntil([&] { return fleet.row(0)->generation_ > before; }, minutes(1)));
 
     fleet.resumeVm(lost);
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert(fleet.isServing(0));
     cr_assert(fleet.row(0)->generation_ == before.next());
     cr_assert_not(hasMember(*fleet.row(0), lost));
 }
 
-Test(group_manager, restarted_member_voids_the_formation)
+Test(group_manager, restart_of_a_member_starts_a_new_formation)
 {
     PlannerFleet fleet(smallShape());
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const GroupRow before = *fleet.row(0);
 
-    fleet.restart(before.members_[2]); // Back within a second, but without its assignment.
-    run(fleet, minutes(1));
+    fleet.restart(before.members_[2]); // It returns within a second, but without its assignment.
+    advanceChecked(fleet, minutes(1));
 
     cr_assert(fleet.isServing(0));
     cr_assert(fleet.row(0)->generation_ == before.generation_.next());
@@ -192,32 +192,32 @@
     shape.vmsPerDomain_ = 6;
     PlannerFleet fleet(shape);
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const VmId lost = fleet.row(0)->members_[0];
 
     fleet.kill(lost);
-    run(fleet, seconds(30));
+    advanceChecked(fleet, seconds(30));
     cr_assert(phaseOf(node, 0) == GroupPhase::Degraded);
-    run(fleet, ManagerSettings{}.stopSurvivorsAfter_);
+    advanceChecked(fleet, ManagerSettings{}.stopSurvivorsAfter_);
     for (const VmId &survivor : {fleet.row(0)->members_[1], fleet.row(0)->members_[2]})
         cr_assert(fleet.endpoints_.state(survivor).phase_ == endpoint::EnginePhase::Draining);
     fleet.restart(lost);
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert_eq(fleet.servingCount(), 2U);
 }
 
-Test(group_manager, two_broken_groups_become_one_that_serves)
+Test(group_manager, two_broken_groups_are_merged_into_one_that_serves)
 {
     FleetShape shape = smallShape();
     shape.vmsPerDomain_ = 6;
     PlannerFleet fleet(shape);
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     fleet.kill(fleet.row(0)->members_[0]);
     fleet.kill(fleet.row(1)->members_[0]);
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert_eq(fleet.servingCount(), 1U);
 }
@@ -226,11 +226,11 @@
 {
     PlannerFleet fleet(smallShape());
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const VmId leaving = fleet.row(0)->members_[1];
 
     fleet.leaving_.insert(leaving);
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert_eq(fleet.servingCount(), 2U);
     cr_assert(fleet.vmRow(leaving)->isFree());
@@ -242,7 +242,7 @@
     shape.vmsPerDomain_ = 9;
     PlannerFleet fleet(shape);
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     fleet.leaving_.insert(fleet.row(0)->members_[1]);
     for (int step = 0; step < 480; ++step) {
@@ -260,18 +260,18 @@
     shape.vmsPerDomain_ = 9;
     PlannerFleet fleet(shape);
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const GroupRow old = *fleet.row(0);
     endpoint::LoadReport busy;
     busy.running_ = 2;
     fleet.endpoints_.setLoad(old.members_[0], busy);
 
     fleet.leaving_.insert(old.members_[1]);
-    run(fleet, minutes(3));
+    advanceChecked(fleet, minutes(3));
     const bool isDraining = fleet.row(0)->phase_ == GroupPhase::Draining;
     const bool isKept = fleet.endpoints_.state(old.members_[0]).assignment_.has_value();
     fleet.endpoints_.setLoad(old.members_[0], {});
-    run(fleet, seconds(30));
+    advanceChecked(fleet, seconds(30));
 
     cr_assert(isDraining);
     cr_assert(isKept);
@@ -282,10 +282,10 @@
 {
     PlannerFleet fleet(smallShape());
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     fleet.setServices({modelService(1, 3)});
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert_eq(fleet.servingCount(), 1U);
     cr_assert(fleet.row(1)->isFreeSlot());
@@ -297,7 +297,7 @@
     shape.vmsPerDomain_ = 6;
     PlannerFleet fleet(shape);
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     auto service = modelService(2, 3);
     service.model_.version_ = ModelVersion("2");
 
@@ -314,18 +314,18 @@
         cr_assert(fleet.row(slot)->model_.version_ == ModelVersion("2"));
 }
 
-Test(group_manager, failed_load_is_tried_again)
+Test(group_manager, failed_load_is_retried)
 {
     PlannerFleet fleet(smallShape());
     for (const VmId &vm : fleet.vmsOf(0))
         fleet.endpoints_.faults(vm).failsLoading_ = true;
     fleet.addNode();
-    run(fleet, seconds(30));
+    advanceChecked(fleet, seconds(30));
     cr_assert_eq(fleet.servingCount(), 0U);
 
     for (const VmId &vm : fleet.vmsOf(0))
         fleet.endpoints_.faults(vm).failsLoading_ = false;
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert_eq(fleet.servingCount(), 2U);
 }
--- a/tests/groups/rows.cpp
+++ b/tests/groups/rows.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-Test(group_row, survives_encoding)
+Test(group_row, round_trips_through_json)
 {
     const auto decoded = decodeGroupRow(encode(sampleRow()));
 
@@ -46,7 +46,7 @@
     cr_assert(valueOf(decoded) == sampleRow());
 }
 
-Test(group_row, text_that_is_no_row_is_an_error)
+Test(group_row, malformed_text_is_an_error)
 {
     for (const auto *text : {"", "[]", "{\"group\":3}", "{"})
         cr_assert(isError<MalformedMessage>(decodeGroupRow(text)), "%s", text);
@@ -85,7 +85,7 @@
         cr_assert_not(row.isMatchedBy(each));
 }
 
-Test(vm_row, survives_encoding)
+Test(vm_row, round_trips_through_json)
 {
     const VmRow row{VmId("vm-1"), FabricDomain("f"), GroupId("lm/z/0"), Generation(4), Epoch(2)};
 
@@ -96,41 +96,41 @@
     cr_assert(isError<MalformedMessage>(decodeVmRow("{}")));
 }
 
-Test(group_board, stale_row_never_reverts_a_newer_one)
+Test(group_cache, stale_row_never_reverts_a_newer_one)
 {
     ManualClock clock;
     FakePlatform platform(clock);
     FakeTableStore store(platform);
-    GroupCache board(clock, store, Random(1));
-    board.apply(sampleRow(2), RowVersion(10));
+    GroupCache cache(clock, store, Random(1));
+    cache.apply(sampleRow(2), RowVersion(10));
 
-    board.apply(sampleRow(1), RowVersion(9));
+    cache.apply(sampleRow(1), RowVersion(9));
 
-    cr_assert_eq(board.group(sampleRow().group_)->content_.generation_.value(), 2U);
+    cr_assert_eq(cache.group(sampleRow().group_)->content_.generation_.value(), 2U);
 }
 
-Test(group_board, refresh_reads_only_what_changed)
+Test(group_cache, refresh_reads_only_what_changed)
 {
     ManualClock clock;
     FakePlatform platform(clock);
     FakeTableStore store(platform);
-    GroupCache board(clock, store, Random(1));
+    GroupCache cache(clock, store, Random(1));
     int changes = 0;
-    board.onChange([&] { ++changes; });
+    cache.onChange([&] { ++changes; });
     (void)platform.apply(put(groupKey(sampleRow().group_), encode(sampleRow())));
-    board.start();
+    cache.start();
     clock.advance(seconds(5));
-    cr_assert_eq(board.groupsOf(ServiceName("lm")).size(), 1U);
+    cr_assert_eq(cache.groupsOf(ServiceName("lm")).size(), 1U);
     cr_assert_eq(changes, 1);
 
     (void)platform.apply(put(groupKey(sampleRow().group_), encode(sampleRow(2))));
     clock.advance(seconds(3));
 
     cr_assert_eq(changes, 2);
-    cr_assert(board.completeTo() == platform.version());
+    cr_assert(cache.syncedVersion() == platform.version());
 }
 
-Test(group_board, reads_every_page_of_a_long_table)
+Test(group_cache, reads_every_page_of_a_long_table)
 {
     ManualClock clock;
     FakePlatform platform(clock);
@@ -139,30 +139,30 @@
         const VmRow row{VmId("vm-" + std::to_string(number)), FabricDomain("f"), {}, {}, {}};
         (void)platform.apply(put(vmKey(row.vm_), encode(row)));
     }
-    GroupCache board(clock, store, Random(1));
+    GroupCache cache(clock, store, Random(1));
 
-    board.start();
+    cache.start();
     clock.advance(seconds(1));
 
-    cr_assert_eq(board.vms().size(), 2500U);
+    cr_assert_eq(cache.vms().size(), 2500U);
 }
 
-Test(group_board, age_grows_during_an_outage_and_the_rows_stay)
+Test(group_cache, age_grows_during_an_outage_and_the_rows_stay)
 {
     ManualClock clock;
     FakePlatform platform(clock);
     FakeTableStore store(platform);
     (void)platform.apply(put(groupKey(sampleRow().group_), encode(sampleRow())));
-    GroupCache board(clock, store, Random(1));
-    board.start();
+    GroupCache cache(clock, store, Random(1));
+    cache.start();
     clock.advance(seconds(2));
 
     platform.faults_.isDown_ = true;
     clock.advance(seconds(60));
 
-    cr_assert(board.age() >= seconds(59));
-    cr_assert_eq(board.groups().size(), 1U);
+    cr_assert(cache.age() >= seconds(59));
+    cr_assert_eq(cache.groups().size(), 1U);
     platform.faults_.isDown_ = false;
     clock.advance(seconds(10));
-    cr_assert(board.age() < seconds(3));
+    cr_assert(cache.age() < seconds(3));
 }
--- a/tests/groups/store_faults.cpp
+++ b/tests/groups/store_faults.cpp
@@ -8,55 +8,55 @@
 using namespace cardamombay;
 using namespace cardamombay::groups;
 using namespace cardamombay::support;
-using fixture::run;
-using fixture::serveAll;
-using fixture::shapeOf;
+using fixture::advanceChecked;
+using fixture::makeShape;
+using fixture::waitUntilServing;
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-Test(store_faults, every_answer_lost_for_a_while_still_leads_to_exclusive_groups)
+Test(store_faults, groups_form_exclusively_although_many_replies_are_lost)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     fleet.platform_.faults_.loseNextAnswers_ = 40;
     fleet.addNode();
 
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert_eq(fleet.servingCount(), 2U);
 }
 
-/// The answer to the n-th commit after the fault is lost, for every n that a repair needs.
-Test(store_faults, lost_answer_at_any_commit_of_a_repair_does_no_harm)
+/// Loses the reply to the n-th commit after a VM is killed, for every commit of the repair.
+Test(store_faults, lost_reply_to_any_commit_of_a_repair_is_harmless)
 {
     for (std::uint32_t nth = 1; nth <= 8; ++nth) {
-        PlannerFleet fleet(shapeOf(1, 7, 2));
+        PlannerFleet fleet(makeShape(1, 7, 2));
         fleet.addNode();
-        serveAll(fleet, 2);
+        waitUntilServing(fleet, 2);
         fleet.kill(fleet.row(0)->members_[0]);
         const std::uint64_t before = fleet.platform_.commits_;
         cr_assert(fleet.advanceUntil([&] { return fleet.platform_.commits_ >= before + nth - 1; },
                                      minutes(2)));
 
         fleet.platform_.faults_.loseNextAnswers_ = 1;
-        run(fleet, minutes(1));
+        advanceChecked(fleet, minutes(1));
 
         cr_assert_eq(fleet.servingCount(), 2U, "commit %u", nth);
     }
 }
 
-Test(store_faults, outage_leaves_serving_groups_alone_and_decides_nothing)
+Test(store_faults, outage_keeps_serving_groups_and_suspends_decisions)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     fleet.platform_.faults_.isDown_ = true;
     const GroupRow before = *fleet.row(0);
     const std::size_t ordersBefore = fleet.endpoints_.orders().size();
     const TimePoint beginning = fleet.clock_.now();
 
     fleet.kill(before.members_[0]);
-    run(fleet, minutes(10));
+    advanceChecked(fleet, minutes(10));
 
     cr_assert(fleet.isServing(1));
     cr_assert(*fleet.row(0) == before);
@@ -65,24 +65,24 @@
         cr_assert(fleet.endpoints_.orders()[each].at_ < beginning + lease.duration_);
 
     fleet.platform_.faults_.isDown_ = false;
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
     cr_assert_eq(fleet.servingCount(), 2U);
 }
 
-/// An outage that begins in each phase of a formation and of a drain.
-Test(store_faults, outage_in_any_phase_ends_well)
+/// Starts the outage at intervals of 1.75 s, so that it hits each phase of a drain and formation.
+Test(store_faults, groups_recover_from_an_outage_in_any_phase)
 {
     for (int quarter = 0; quarter < 140; quarter += 7) {
-        PlannerFleet fleet(shapeOf(1, 9, 2));
+        PlannerFleet fleet(makeShape(1, 9, 2));
         fleet.addNode();
-        serveAll(fleet, 2);
+        waitUntilServing(fleet, 2);
         fleet.leaving_.insert(fleet.row(0)->members_[0]);
-        run(fleet, milliseconds(250) * quarter);
+        advanceChecked(fleet, milliseconds(250) * quarter);
 
         fleet.platform_.faults_.isDown_ = true;
-        run(fleet, minutes(2));
+        advanceChecked(fleet, minutes(2));
         fleet.platform_.faults_.isDown_ = false;
-        run(fleet, minutes(3));
+        advanceChecked(fleet, minutes(3));
 
         cr_assert_eq(fleet.servingCount(), 2U, "outage after %d quarter seconds", quarter);
         cr_assert(fleet.row(0)->isFreeSlot());
@@ -91,17 +91,17 @@
 
 Test(store_faults, slow_store_delays_but_does_not_break_formation)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     fleet.platform_.faults_.latency_ = seconds(1);
     fleet.addNode();
 
-    run(fleet, minutes(4));
+    advanceChecked(fleet, minutes(4));
 
     cr_assert_eq(fleet.servingCount(), 2U);
 }
 
-/// Runs a repair of slot 0 in which \p race happens right before the new formation is sent.
-/// \returns what the slot's row said then, and what it says after.
+/// Runs a repair of slot 0 and calls \p race right before the new formation is committed.
+/// \returns the slot's row before the repair and after the attempted commit.
 static std::pair<GroupRow, GroupRow>
 raceFormation(PlannerFleet &fleet, PlannerNode &node,
               const std::function<void(const platform::Transaction &)> &race)
@@ -122,11 +122,11 @@
     return {before, *fleet.row(0)};
 }
 
-Test(store_faults, formation_fails_whole_if_another_writer_took_one_of_its_vms)
+Test(store_faults, formation_fails_entirely_if_another_writer_assigned_one_of_its_vms)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     VmId taken;
 
     const auto [before, after] = raceFormation(fleet, node, [&](const auto &transaction) {
@@ -145,11 +145,11 @@
     cr_assert(fleet.vmRow(taken)->group_ == GroupId("other/zone/0"));
 }
 
-Test(store_faults, formation_fails_whole_if_another_planner_has_the_lease)
+Test(store_faults, formation_fails_entirely_if_another_planner_holds_the_lease)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     const auto [before, after] = raceFormation(fleet, node, [&](const auto &) {
         const auto key = leases::epochKey(PlannerFleet::domain(0));
@@ -159,11 +159,11 @@
     cr_assert(after == before);
 }
 
-Test(store_faults, formation_fails_whole_if_the_slot_was_formed_elsewhere)
+Test(store_faults, formation_fails_entirely_if_the_slot_was_formed_in_another_domain)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     GroupRow other;
 
     const auto [before, after] = raceFormation(fleet, node, [&](const auto &) {
@@ -177,16 +177,16 @@
     cr_assert(after == other);
 }
 
-Test(store_faults, planner_that_cannot_read_what_was_committed_before_it_does_nothing)
+Test(store_faults, planner_that_cannot_read_earlier_commits_does_nothing)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &first = fleet.addNode();
     PlannerNode &second = fleet.addNode(1);
     second.nodeStore_.losesScans_ = true;
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     first.pause();
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert(second.lease().isHeld());
     cr_assert_eq(fleet.servingCount(), 2U);
--- a/tests/groups/two_planners.cpp
+++ b/tests/groups/two_planners.cpp
@@ -5,16 +5,16 @@
 using namespace cardamombay;
 using namespace cardamombay::groups;
 using namespace cardamombay::support;
-using fixture::run;
-using fixture::serveAll;
-using fixture::shapeOf;
+using fixture::advanceChecked;
+using fixture::makeShape;
+using fixture::waitUntilServing;
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 using std::chrono::seconds;
 
 namespace {
 
-/// An order as the holder of \p epoch would have sent it for another formation.
+/// An order from the lease holder of \p epoch, for another formation.
 endpoint::EndpointOrder staleAssign(const VmId &vm, std::uint64_t epoch)
 {
     endpoint::EndpointOrder order;
@@ -48,19 +48,19 @@
 
 } // namespace
 
-Test(two_planners, planner_that_wakes_after_its_lease_lapsed_orders_nothing)
+Test(two_planners, planner_resumed_after_its_lease_expired_sends_no_orders)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &first = fleet.addNode();
     PlannerNode &second = fleet.addNode(1);
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
 
     first.pause();
     fleet.kill(fleet.row(0)->members_[0]);
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
     const std::size_t ordersBefore = fleet.endpoints_.orders().size();
     first.resume();
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert(second.lease().isHeld());
     cr_assert(fleet.isServing(0));
@@ -68,12 +68,12 @@
         cr_assert(fleet.endpoints_.orders()[each].from_ != first.self_);
 }
 
-Test(two_planners, new_planner_takes_the_groups_over_without_disturbing_them)
+Test(two_planners, new_planner_takes_over_groups_without_disturbing_them)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &first = fleet.addNode();
     PlannerNode &second = fleet.addNode(1);
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const std::uint64_t commits = fleet.platform_.commits_;
     const std::size_t orders = fleet.endpoints_.orders().size();
 
@@ -89,9 +89,9 @@
     cr_assert_leq(fleet.platform_.commits_ - commits, 20U); // Lease writes only.
 }
 
-Test(two_planners, planner_lost_while_a_group_loads_is_followed_by_one_that_finishes)
+Test(two_planners, new_planner_completes_a_load_that_a_lost_planner_started)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &first = fleet.addNode();
     fleet.addNode(1);
     cr_assert(fleet.advanceUntil(
@@ -102,21 +102,21 @@
         minutes(1)));
 
     first.pause();
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert_eq(fleet.servingCount(), 2U);
 }
 
 Test(two_planners, stale_order_is_refused_by_an_endpoint_that_checks)
 {
-    PlannerFleet fleet(shapeOf(1, 7, 2));
+    PlannerFleet fleet(makeShape(1, 7, 2));
     PlannerNode &first = fleet.addNode();
     fleet.addNode(1);
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     first.lease().release();
-    run(fleet, seconds(20));
+    advanceChecked(fleet, seconds(20));
     fleet.restart(fleet.row(0)->members_[1]);
-    run(fleet, minutes(1)); // The formation after it carries the second epoch.
+    advanceChecked(fleet, minutes(1)); // Formed again by the second planner, with its epoch.
     const GroupRow formed = *fleet.row(0);
     endpoint::EndpointOrder stale = staleAssign(formed.members_[0], 1);
     stale.kind_ = endpoint::OrderKind::Release;
@@ -125,65 +125,65 @@
     bool isRefused = false;
     first.orders_.send(addressOf(fleet, stale.vm_), stale,
                        [&](const auto &result) { isRefused = isError<EndpointRefused>(result); });
-    run(fleet, seconds(5));
+    advanceChecked(fleet, seconds(5));
 
     cr_assert(isRefused);
     cr_assert(fleet.isServing(0));
 }
 
-Test(two_planners, stale_order_that_an_endpoint_takes_is_undone)
+Test(two_planners, stale_order_accepted_by_an_endpoint_is_undone)
 {
-    FleetShape shape = shapeOf(1, 7, 2);
+    FleetShape shape = makeShape(1, 7, 2);
     shape.checksFencing_ = false;
     PlannerFleet fleet(shape);
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const VmId spare = spareOf(fleet);
 
     node.orders_.send(addressOf(fleet, spare), staleAssign(spare, 0), [](const auto &) {});
-    run(fleet, seconds(1));
+    advanceChecked(fleet, seconds(1));
     cr_assert(fleet.endpoints_.state(spare).assignment_.has_value());
-    run(fleet, seconds(20));
+    advanceChecked(fleet, seconds(20));
 
     cr_assert_not(fleet.endpoints_.state(spare).assignment_.has_value());
     cr_assert_eq(fleet.servingCount(), 2U);
 }
 
-Test(two_planners, stale_release_at_an_endpoint_that_ignores_fencing_takes_the_group_out)
+Test(two_planners, group_is_formed_again_after_a_stale_release_at_an_endpoint_that_ignores_fencing)
 {
-    FleetShape shape = shapeOf(1, 7, 2);
+    FleetShape shape = makeShape(1, 7, 2);
     shape.checksFencing_ = false;
     PlannerFleet fleet(shape);
     PlannerNode &node = fleet.addNode();
-    serveAll(fleet, 2);
+    waitUntilServing(fleet, 2);
     const GroupRow before = *fleet.row(0);
     endpoint::EndpointOrder stale = staleAssign(before.members_[1], 0);
     stale.kind_ = endpoint::OrderKind::Release;
     stale.assignment_ = {before.group_, before.generation_, 1};
 
     node.orders_.send(addressOf(fleet, stale.vm_), stale, [](const auto &) {});
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     cr_assert(fleet.row(0)->generation_ > before.generation_);
     cr_assert(fleet.isServing(0));
 }
 
-Test(two_planners, new_planner_keeps_quiet_towards_endpoints_that_ignore_fencing)
+Test(two_planners, new_planner_observes_the_quiet_period_for_endpoints_that_ignore_fencing)
 {
-    FleetShape shape = shapeOf(1, 7, 2);
+    FleetShape shape = makeShape(1, 7, 2);
     shape.checksFencing_ = false;
     PlannerFleet fleet(shape);
     PlannerNode &first = fleet.addNode();
     PlannerNode &second = fleet.addNode(1);
-    serveAll(fleet, 2);
-    // A stray assignment would be released at once if there were no quiet period.
+    waitUntilServing(fleet, 2);
+    // Without a quiet period the new planner would release this stale assignment at once.
     const VmId spare = spareOf(fleet);
     first.lease().release();
     first.orders_.send(addressOf(fleet, spare), staleAssign(spare, 1), [](const auto &) {});
 
     cr_assert(fleet.advanceUntil([&] { return second.lease().isHeld(); }, minutes(1)));
     const TimePoint quietUntil = second.lease().quietUntil();
-    run(fleet, minutes(1));
+    advanceChecked(fleet, minutes(1));
 
     bool hasOrdered = false;
     for (const auto &received : fleet.endpoints_.orders()) {
@@ -197,33 +197,33 @@
 
 Test(two_planners, planners_of_two_domains_never_form_one_slot_twice)
 {
-    PlannerFleet fleet(shapeOf(3, 7, 5));
+    PlannerFleet fleet(makeShape(3, 7, 5));
     fleet.addNode();
 
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert_eq(fleet.servingCount(), 5U);
 }
 
-Test(two_planners, slot_of_a_dark_domain_moves_and_its_vms_come_back_as_spares)
+Test(two_planners, slot_of_a_lost_domain_moves_and_its_vms_return_as_spares)
 {
-    FleetShape shape = shapeOf(2, 6, 3);
+    FleetShape shape = makeShape(2, 6, 3);
     shape.policy_.returnProbability_ = 0.2;
     PlannerFleet fleet(shape);
     fleet.addNode();
-    serveAll(fleet, 3);
+    waitUntilServing(fleet, 3);
     std::uint32_t groupsOfFirst = 0;
     for (std::uint32_t slot = 0; slot < 3; ++slot)
         groupsOfFirst += fleet.row(slot)->domain_ == PlannerFleet::domain(0) ? 1 : 0;
-    const std::uint32_t dark = groupsOfFirst == 2 ? 0 : 1; // The domain with two of the groups.
+    const std::uint32_t lostDomain = groupsOfFirst == 2 ? 0 : 1; // The domain with two groups.
 
-    for (const VmId &vm : fleet.vmsOf(dark))
+    for (const VmId &vm : fleet.vmsOf(lostDomain))
         fleet.pauseVm(vm);
-    run(fleet, minutes(2));
-    cr_assert_eq(fleet.servingCount(), 2U); // One stayed, one moved in.
-    for (const VmId &vm : fleet.vmsOf(dark))
+    advanceChecked(fleet, minutes(2));
+    cr_assert_eq(fleet.servingCount(), 2U); // One stayed and one was moved.
+    for (const VmId &vm : fleet.vmsOf(lostDomain))
         fleet.resumeVm(vm);
-    run(fleet, minutes(2));
+    advanceChecked(fleet, minutes(2));
 
     cr_assert_eq(fleet.servingCount(), 3U);
 }
--- a/tests/support/planner_fleet.cpp
+++ b/tests/support/planner_fleet.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Duration pollEvery = std::chrono::seconds(1);
+constexpr Duration pollInterval = std::chrono::seconds(1);
 constexpr Duration freshFor = std::chrono::milliseconds(2500);
-constexpr Duration tickEvery = std::chrono::milliseconds(500);
+constexpr Duration tickInterval = std::chrono::milliseconds(500);
 
 template<typename Value>
 Value require(Result<Value> result)
@@ -47,14 +47,14 @@
 void PollingView::poll()
 {
     for (const auto &vm : vms_) {
-        auto heard = [this, id = vm.id_,
-                      askedAt = clock_.now()](const Result<endpoint::EndpointState> &result) {
+        auto onState = [this, id = vm.id_,
+                        askedAt = clock_.now()](const Result<endpoint::EndpointState> &result) {
             if (isOk(result))
                 observations_[id] = {valueOf(result), askedAt, true, false, false};
         };
-        orders_.probe(vm.id_, vm.address_, std::move(heard));
+        orders_.probe(vm.id_, vm.address_, std::move(onState));
     }
-    clock_.schedule(pollEvery, [this] { poll(); });
+    clock_.schedule(pollInterval, [this] { poll(); });
 }
 
 groups::VmObservation PollingView::observe(const VmId &vm) const
@@ -90,7 +90,7 @@
             self_, incarnation, fleet.groupProgram_, planner));
     }
     groupCache_.start();
-    clock_.schedule(tickEvery, [this] { tick(); });
+    clock_.schedule(tickInterval, [this] { tick(); });
 }
 
 void PlannerNode::tick()
@@ -99,7 +99,7 @@
                                   &groupCache_};
     for (auto &manager : managers_)
         manager->tick(input);
-    clock_.schedule(tickEvery, [this] { tick(); });
+    clock_.schedule(tickInterval, [this] { tick(); });
 }
 
 PlannerFleet::PlannerFleet(FleetShape shape)
--- a/tests/support/planner_fleet.hpp
+++ b/tests/support/planner_fleet.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// \brief Fabric domains of endpoint VMs with planners on entry VMs, in memory on a paused clock.
+/// \brief In-memory simulation of endpoint VMs in fabric domains, with planners on entry VMs and a
+/// manual clock.
 #pragma once
 
 #include "support/fake_endpoints.hpp"
@@ -18,7 +19,7 @@
 
 namespace cardamombay::support {
 
-/// \brief Shape of a fleet in one availability zone.
+/// \brief Size and configuration of a fleet in one availability zone.
 struct FleetShape
 {
     std::uint32_t domains_ = 1;
@@ -30,12 +31,12 @@
     std::string chartFolder_ = "charts";
 };
 
-/// \brief A model service "lm" with \p replicas replicas of \p vmsPerReplica VMs.
+/// \brief A model service with \p replicas replicas of \p vmsPerReplica VMs in the zone "zone".
 [[nodiscard]] config::Service modelService(std::uint32_t replicas, std::uint32_t vmsPerReplica,
                                            const std::string &name = "lm",
                                            std::uint32_t priority = 100);
 
-/// \brief Polls the endpoint VMs of a fleet, as a watcher would.
+/// \brief Polls the endpoint VMs of a fleet, in place of an endpoint watcher.
 class PollingView final : public groups::VmView
 {
 public:
@@ -56,7 +57,7 @@
 
 class PlannerFleet;
 
-/// \brief Planner side of one entry VM: a lease and a manager for each fabric domain.
+/// \brief Simulated entry VM, with a planner lease and a group manager for each fabric domain.
 class PlannerNode
 {
 public:
@@ -90,16 +91,17 @@
     std::vector<std::unique_ptr<groups::GroupManager>> managers_;
 };
 
-/// \brief The fleet with its platform; entry VMs are added by addNode().
+/// \brief Endpoint VMs with a fake platform; addNode() adds entry VMs.
 class PlannerFleet
 {
 public:
     explicit PlannerFleet(FleetShape shape);
 
-    /// \brief Adds an entry VM that contends for every domain at \p rank.
+    /// \brief Adds an entry VM that competes for the lease of every domain with candidate rank \p
+    /// rank.
     PlannerNode &addNode(std::uint32_t rank = 0, planning::Planner planner = planning::Planner());
 
-    /// \brief Name of VM \p number of domain \p domain.
+    /// \brief Identifier of VM \p number in domain \p domain.
     [[nodiscard]] static VmId vm(std::uint32_t number, std::uint32_t domain = 0);
     [[nodiscard]] static FabricDomain domain(std::uint32_t number);
     [[nodiscard]] std::vector<VmId> vmsOf(std::uint32_t domain) const;
@@ -108,15 +110,15 @@
     /// \brief Advances until \p condition holds; false if it does not within \p limit.
     bool advanceUntil(const std::function<bool()> &condition, Duration limit);
 
-    /// \name What the platform and the VMs say
+    /// \name State of the platform and the VMs
     /// \{
     [[nodiscard]] std::optional<groups::GroupRow> row(std::uint32_t slot = 0,
                                                       const std::string &service = "lm") const;
     [[nodiscard]] std::optional<groups::VmRow> vmRow(const VmId &vm) const;
-    /// \brief True if all members of the slot's formation hold it, ready.
+    /// \brief True if all members of the slot's formation are alive and report it as ready.
     [[nodiscard]] bool isServing(std::uint32_t slot = 0, const std::string &service = "lm") const;
     [[nodiscard]] std::uint32_t servingCount() const;
-    /// \brief True if no VM is in two groups, by rows and by what the engines hold.
+    /// \brief True if no VM is a member of two groups and each member's row names its formation.
     [[nodiscard]] bool isExclusive() const;
     /// \}
 
@@ -127,7 +129,7 @@
     config::ConfigurationPtr configuration_;
     std::vector<platform::VmRecord> vms_;
     std::set<VmId> leaving_;
-    std::set<VmId> dead_; ///< VMs that a test took out; for isServing().
+    std::set<VmId> dead_; ///< VMs that a test killed or paused; for isServing().
     leases::LeaseProgramPtr leaseProgram_;
     groups::GroupProgramPtr groupProgram_;
     std::vector<std::unique_ptr<PlannerNode>> nodes_;
