--- a/include/cardamombay/groups/plan_input.hpp
+++ b/include/cardamombay/groups/plan_input.hpp
@@ -1,11 +1,11 @@
 /// \file
-/// \brief What a group manager is given at each tick.
-/// \details Values and references that stay valid during the tick only. It decides nothing.
+/// \brief Input of a group manager's tick.
+/// \details The pointers need to be valid during the tick only.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
 #include <cardamombay/core/ids.hpp>
-#include <cardamombay/groups/group_board.hpp>
+#include <cardamombay/groups/group_cache.hpp>
 #include <cardamombay/groups/vm_view.hpp>
 #include <cardamombay/platform/vm_directory.hpp>
 
@@ -13,14 +13,14 @@
 
 namespace cardamombay::groups {
 
-/// \brief Knowledge of an entry VM about one fabric domain and the availability zone around it.
+/// \brief What an entry VM knows about an availability zone.
 struct PlanInput
 {
     config::ConfigurationPtr configuration_;
     AvailabilityZone zone_;
-    std::vector<platform::VmRecord> vms_; ///< Engines of the whole zone, all of its domains.
+    std::vector<platform::VmRecord> vms_; ///< Engine VMs of all domains of the zone.
     const VmView *view_ = nullptr;
-    GroupBoard *board_ = nullptr;
+    GroupCache *groupCache_ = nullptr;
 };
 
 } // namespace cardamombay::groups
--- a/tests/support/planner_fleet.cpp
+++ b/tests/support/planner_fleet.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Duration pollEvery = std::chrono::seconds(1);
+constexpr Duration pollInterval = std::chrono::seconds(1);
 constexpr Duration freshFor = std::chrono::milliseconds(2500);
-constexpr Duration tickEvery = std::chrono::milliseconds(500);
+constexpr Duration tickInterval = std::chrono::milliseconds(500);
 
 template<typename Value>
 Value require(Result<Value> result)
@@ -47,14 +47,14 @@
 void PollingView::poll()
 {
     for (const auto &vm : vms_) {
-        auto heard = [this, id = vm.id_,
-                      askedAt = clock_.now()](const Result<endpoint::EndpointState> &result) {
+        auto onState = [this, id = vm.id_,
+                        askedAt = clock_.now()](const Result<endpoint::EndpointState> &result) {
             if (isOk(result))
                 observations_[id] = {valueOf(result), askedAt, true, false, false};
         };
-        orders_.probe(vm.id_, vm.address_, std::move(heard));
+        orders_.probe(vm.id_, vm.address_, std::move(onState));
     }
-    clock_.schedule(pollEvery, [this] { poll(); });
+    clock_.schedule(pollInterval, [this] { poll(); });
 }
 
 groups::VmObservation PollingView::observe(const VmId &vm) const
@@ -77,7 +77,7 @@
     , nodeStore_(clock_, store_)
     , nodeOrders_(clock_, orders_)
     , view_(clock_, nodeOrders_, fleet.vms_, fleet.leaving_)
-    , board_(clock_, nodeStore_, Random(7))
+    , groupCache_(clock_, nodeStore_, Random(7))
     , log_(100000)
 {
     const Incarnation incarnation(1);
@@ -89,17 +89,17 @@
             clock_, nodeStore_, nodeOrders_, *leases_.back(), log_, groups::ManagerSettings{},
             self_, incarnation, fleet.groupProgram_, planner));
     }
-    board_.start();
-    clock_.schedule(tickEvery, [this] { tick(); });
+    groupCache_.start();
+    clock_.schedule(tickInterval, [this] { tick(); });
 }
 
 void PlannerNode::tick()
 {
     const groups::PlanInput input{fleet_.configuration_, fleet_.shape_.zone_, fleet_.vms_, &view_,
-                                  &board_};
+                                  &groupCache_};
     for (auto &manager : managers_)
         manager->tick(input);
-    clock_.schedule(tickEvery, [this] { tick(); });
+    clock_.schedule(tickInterval, [this] { tick(); });
 }
 
 PlannerFleet::PlannerFleet(FleetShape shape)
@@ -108,8 +108,8 @@
     , endpoints_(clock_)
     , leaseProgram_(require(leases::LeaseKeeper::bind(
           require(chart::loadChart(shape_.chartFolder_ + "/lease.toml")))))
-    , groupProgram_(require(
-          groups::GroupLife::bind(require(chart::loadChart(shape_.chartFolder_ + "/group.toml")))))
+    , groupProgram_(require(groups::GroupStateMachine::bind(
+          require(chart::loadChart(shape_.chartFolder_ + "/group.toml")))))
 {
     for (auto &service : shape_.services_)
         service.checksFencing_ = shape_.checksFencing_;
