--- a/bench/routing_retries.cpp
+++ b/bench/routing_retries.cpp
@@ -49,7 +49,7 @@
 {
 public:
     Run(const Way &way, std::size_t failing, double perSecond, std::uint64_t seed,
-        const retries::CircuitProgramPtr &program)
+        const retries::CircuitBreakerProgramPtr &program)
         : way_(way)
         , failing_(failing)
         , perSecond_(perSecond)
@@ -91,7 +91,7 @@
     struct Entry
     {
         Entry(std::uint64_t seed, const retries::RetrySettings &settings,
-              const retries::CircuitProgramPtr &program)
+              const retries::CircuitBreakerProgramPtr &program)
             : router_(seed)
             , retries_(seed + 1, settings)
             , circuits_(program, {}, seed)
@@ -100,7 +100,7 @@
 
         routing::Router router_;
         retries::RetryPolicy retries_;
-        retries::CircuitBoard circuits_;
+        retries::CircuitBreakerRegistry circuits_;
     };
 
     struct Request
@@ -186,7 +186,7 @@
         std::fprintf(stderr, "%s\n", messageOf(errorOf(chart)).c_str());
         return 1;
     }
-    const auto program = retries::makeCircuitProgram(valueOf(chart));
+    const auto program = retries::makeCircuitBreakerProgram(valueOf(chart));
     if (!isOk(program)) {
         std::fprintf(stderr, "%s\n", messageOf(errorOf(program)).c_str());
         return 1;
--- a/include/cardamombay/forward.hpp
+++ b/include/cardamombay/forward.hpp
@@ -316,12 +316,12 @@
 /// Retry budget, back-off and circuits.
 namespace retries {
 class Backoff;
-class Circuit;
-class CircuitBoard;
+class CircuitBreaker;
+class CircuitBreakerRegistry;
 class RetryBudget;
 class RetryPolicy;
 struct BackoffPolicy;
-struct CircuitPolicy;
+struct CircuitBreakerPolicy;
 struct FailedAttempt;
 struct GiveUp;
 struct Retry;
@@ -335,7 +335,7 @@
 class Router;
 struct CacheEvent;
 struct DemandReport;
-struct PassedOver;
+struct SkippedGroups;
 struct PeerDemand;
 struct PrefixHolders;
 struct RequestSample;
--- a/include/cardamombay/retries/circuit.hpp
+++ b/include/cardamombay/retries/circuit.hpp
@@ -11,16 +11,16 @@
 
 namespace cardamombay::retries {
 
-class Circuit;
+class CircuitBreaker;
 
 /// \brief The chart of circuits with its code, shared by all circuits.
-using CircuitProgramPtr = chart::ProgramPtr<Circuit>;
+using CircuitBreakerProgramPtr = chart::ProgramPtr<CircuitBreaker>;
 
 /// \brief Binds charts/circuit.toml; done once at start.
-[[nodiscard]] Result<CircuitProgramPtr> makeCircuitProgram(const chart::Chart &chart);
+[[nodiscard]] Result<CircuitBreakerProgramPtr> makeCircuitBreakerProgram(const chart::Chart &chart);
 
 /// \brief Settings of a circuit.
-struct CircuitPolicy
+struct CircuitBreakerPolicy
 {
     std::uint32_t failures_ = 3;                  ///< Failures in a row that open the circuit.
     Duration openTime_ = std::chrono::seconds(1); ///< Doubles with each failed trial; half of it
@@ -35,11 +35,12 @@
 /// if (circuit.allows(clock.now()))
 ///     circuit.started(clock.now()); // then succeeded(), failed() or abandoned() at its end
 /// \endcode
-class Circuit
+class CircuitBreaker
 {
 public:
     /// \param seed of the jitter of the open time, so that circuits do not try again together.
-    explicit Circuit(CircuitProgramPtr program, CircuitPolicy policy = {}, std::uint64_t seed = 0);
+    explicit CircuitBreaker(CircuitBreakerProgramPtr program, CircuitBreakerPolicy policy = {},
+                            std::uint64_t seed = 0);
 
     /// \brief True if an attempt may be made at \p now.
     [[nodiscard]] bool allows(TimePoint now);
@@ -69,7 +70,7 @@
     [[nodiscard]] TimePoint changedAt() const { return now_; }
 
 private:
-    friend Result<CircuitProgramPtr> makeCircuitProgram(const chart::Chart &chart);
+    friend Result<CircuitBreakerProgramPtr> makeCircuitBreakerProgram(const chart::Chart &chart);
 
     void handle(std::string_view event, TimePoint now);
     void passTime(TimePoint now);
@@ -78,9 +79,9 @@
     void startTrial() { trialUntil_ = now_ + policy_.trialTime_; }
     void forgetFailures();
 
-    CircuitPolicy policy_;
+    CircuitBreakerPolicy policy_;
     std::uint64_t seed_;
-    chart::Machine<Circuit> machine_;
+    chart::Machine<CircuitBreaker> machine_;
     std::uint32_t failuresInRow_ = 0;
     std::uint32_t openings_ = 0; ///< Without a success between them.
     std::uint64_t waits_ = 0;    ///< Ever started.
--- a/include/cardamombay/retries/circuit_board.hpp
+++ b/include/cardamombay/retries/circuit_board.hpp
@@ -21,11 +21,11 @@
 /// const auto decision = router.choose(*snapshot, request, clock.now());
 /// board.started(decision.group_->group_, clock.now());
 /// \endcode
-class CircuitBoard
+class CircuitBreakerRegistry
 {
 public:
-    explicit CircuitBoard(CircuitProgramPtr program, CircuitPolicy policy = {},
-                          std::uint64_t seed = 0);
+    explicit CircuitBreakerRegistry(CircuitBreakerProgramPtr program,
+                                    CircuitBreakerPolicy policy = {}, std::uint64_t seed = 0);
 
     /// \brief Groups that must not be tried at \p now, for RouteRequest::excluded_.
     /// \returns a view that holds until the next call.
@@ -48,10 +48,10 @@
     [[nodiscard]] TimePoint nextTrial() const;
 
 private:
-    CircuitProgramPtr program_;
-    CircuitPolicy policy_;
+    CircuitBreakerProgramPtr program_;
+    CircuitBreakerPolicy policy_;
     std::uint64_t seed_;
-    std::unordered_map<GroupId, Circuit> circuits_;
+    std::unordered_map<GroupId, CircuitBreaker> circuits_;
     std::vector<GroupId> blocked_;
 };
 
--- a/include/cardamombay/retries/retry_budget.hpp
+++ b/include/cardamombay/retries/retry_budget.hpp
@@ -11,9 +11,9 @@
 /// \brief Settings of a retry budget.
 struct RetryBudgetPolicy
 {
-    double share_ = 0.1;         ///< Retries allowed for each fresh request.
-    double floorPerSecond_ = 1;  ///< Retries allowed at any rate of requests.
-    double maximumBalance_ = 50; ///< Retries that can be saved up.
+    double share_ = 0.1;          ///< Retries allowed for each fresh request.
+    double minimumPerSecond_ = 1; ///< Retries allowed at any rate of requests.
+    double maximumBalance_ = 50;  ///< Retries that can be saved up.
 };
 
 /// \brief Balance of retries; single-threaded.
--- a/include/cardamombay/routing/route_decision.hpp
+++ b/include/cardamombay/routing/route_decision.hpp
@@ -53,7 +53,7 @@
 };
 
 /// \brief How many groups of the service were passed over, by cause.
-struct PassedOver
+struct SkippedGroups
 {
     std::uint32_t stale_ = 0;
     std::uint32_t vetoed_ = 0;
@@ -72,7 +72,7 @@
     const SnapshotGroup *decodeGroup_ = nullptr; ///< Set if group_ only prefills and hands over.
     RouteReason reason_ = RouteReason::NoGroups;
     std::uint32_t usable_ = 0; ///< Groups that could have been chosen.
-    PassedOver passedOver_{};
+    SkippedGroups passedOver_{};
     std::array<RouteCandidate, candidateLimit> candidates_{};
     std::size_t candidateCount_ = 0;
 
--- a/include/cardamombay/traffic/dispatcher.hpp
+++ b/include/cardamombay/traffic/dispatcher.hpp
@@ -29,7 +29,7 @@
     limits::LimitsPolicy limits_;
     routing::RouterPolicy router_;
     retries::RetrySettings retries_;
-    retries::CircuitPolicy circuits_;
+    retries::CircuitBreakerPolicy circuits_;
     /// Period of the digests to peers: shares are worked out from what was digested, so the demand
     /// is taken once for each.
     Duration digestEvery_ = std::chrono::milliseconds(500);
@@ -86,7 +86,7 @@
     /// \param seed of the routing draws and back-off delays.
     /// \param circuits the chart of circuits, bound.
     /// \param policy settings of the decisions.
-    Dispatcher(std::uint64_t seed, retries::CircuitProgramPtr circuits,
+    Dispatcher(std::uint64_t seed, retries::CircuitBreakerProgramPtr circuits,
                const DispatchPolicy &policy = {});
 
     /// \name Admission
@@ -145,7 +145,7 @@
     limits::Admission admission_;
     routing::Router router_;
     retries::RetryPolicy retries_;
-    retries::CircuitBoard circuits_;
+    retries::CircuitBreakerRegistry circuits_;
     std::unordered_map<RequestId, AdmissionCallback> waiting_;
     std::uint64_t releasedFor_ = 0; ///< Snapshot of the last release; zero asks for another.
     Duration digestEvery_;
--- a/src/retries/circuit.cpp
+++ b/src/retries/circuit.cpp
@@ -16,58 +16,59 @@
 
 } // namespace
 
-Result<CircuitProgramPtr> makeCircuitProgram(const chart::Chart &chart)
+Result<CircuitBreakerProgramPtr> makeCircuitBreakerProgram(const chart::Chart &chart)
 {
-    chart::Binding<Circuit> binding;
+    chart::Binding<CircuitBreaker> binding;
     binding.state(closedState).state(openState).state(trialState);
     binding.events({"started", "succeeded", "failed", "abandoned", "wait-over", "trial-over"});
-    binding.guard("limit-reached", [](const Circuit &circuit) {
+    binding.guard("limit-reached", [](const CircuitBreaker &circuit) {
         return circuit.failuresInRow_ + 1 >= circuit.policy_.failures_;
     });
-    binding.action("count-failure", [](Circuit &circuit) { ++circuit.failuresInRow_; });
-    binding.action("forget-failures", [](Circuit &circuit) { circuit.forgetFailures(); });
-    binding.action("start-wait", [](Circuit &circuit) { circuit.startWait(); });
-    binding.action("start-trial", [](Circuit &circuit) { circuit.startTrial(); });
+    binding.action("count-failure", [](CircuitBreaker &circuit) { ++circuit.failuresInRow_; });
+    binding.action("forget-failures", [](CircuitBreaker &circuit) { circuit.forgetFailures(); });
+    binding.action("start-wait", [](CircuitBreaker &circuit) { circuit.startWait(); });
+    binding.action("start-trial", [](CircuitBreaker &circuit) { circuit.startTrial(); });
     return chart::bind(chart, std::move(binding));
 }
 
-Circuit::Circuit(CircuitProgramPtr program, CircuitPolicy policy, std::uint64_t seed)
+CircuitBreaker::CircuitBreaker(CircuitBreakerProgramPtr program, CircuitBreakerPolicy policy,
+                               std::uint64_t seed)
     : policy_(policy)
     , seed_(seed)
     , machine_(std::move(program))
 {
 }
 
-bool Circuit::allows(TimePoint now)
+bool CircuitBreaker::allows(TimePoint now)
 {
     passTime(now);
     return !machine_.isIn(openState) && !machine_.isIn(trialState);
 }
 
-std::string_view Circuit::status(TimePoint now)
+std::string_view CircuitBreaker::status(TimePoint now)
 {
     passTime(now);
     return machine_.state();
 }
 
-bool Circuit::isHealthy() const
+bool CircuitBreaker::isHealthy() const
 {
     return machine_.isIn(closedState) && failuresInRow_ == 0;
 }
 
-TimePoint Circuit::nextTrial() const
+TimePoint CircuitBreaker::nextTrial() const
 {
     return machine_.isIn(openState) ? openUntil_ : TimePoint::max();
 }
 
-void Circuit::handle(std::string_view event, TimePoint now)
+void CircuitBreaker::handle(std::string_view event, TimePoint now)
 {
     passTime(now);
     now_ = now;
     machine_.handle(*this, event);
 }
 
-void Circuit::passTime(TimePoint now)
+void CircuitBreaker::passTime(TimePoint now)
 {
     if (now >= nextTrial())
         machine_.handle(*this, "wait-over");
@@ -76,13 +77,13 @@
 }
 
 /// A number in [0, 1) for this wait; a hash, as a generator for each circuit would be large.
-double Circuit::jitter() const
+double CircuitBreaker::jitter() const
 {
     const std::uint64_t bits = stableHash(std::to_string(waits_), seed_);
     return double(bits >> 11) * 0x1p-53;
 }
 
-void Circuit::startWait()
+void CircuitBreaker::startWait()
 {
     Duration wait = policy_.openTime_;
     for (std::uint32_t i = 0; i < openings_ && wait < policy_.maximumOpenTime_; ++i)
@@ -94,7 +95,7 @@
     ++openings_;
 }
 
-void Circuit::forgetFailures()
+void CircuitBreaker::forgetFailures()
 {
     failuresInRow_ = 0;
     openings_ = 0;
--- a/src/retries/circuit_board.cpp
+++ b/src/retries/circuit_board.cpp
@@ -13,14 +13,15 @@
 
 } // namespace
 
-CircuitBoard::CircuitBoard(CircuitProgramPtr program, CircuitPolicy policy, std::uint64_t seed)
+CircuitBreakerRegistry::CircuitBreakerRegistry(CircuitBreakerProgramPtr program,
+                                               CircuitBreakerPolicy policy, std::uint64_t seed)
     : program_(std::move(program))
     , policy_(policy)
     , seed_(seed)
 {
 }
 
-std::span<const GroupId> CircuitBoard::blocked(TimePoint now)
+std::span<const GroupId> CircuitBreakerRegistry::blocked(TimePoint now)
 {
     std::erase_if(circuits_, [now](const auto &entry) {
         return now - entry.second.changedAt() > forgetAfter;
@@ -33,14 +34,14 @@
     return blocked_;
 }
 
-void CircuitBoard::started(const GroupId &group, TimePoint now)
+void CircuitBreakerRegistry::started(const GroupId &group, TimePoint now)
 {
     const auto found = circuits_.find(group);
     if (found != circuits_.end())
         found->second.started(now);
 }
 
-void CircuitBoard::succeeded(const GroupId &group, TimePoint now)
+void CircuitBreakerRegistry::succeeded(const GroupId &group, TimePoint now)
 {
     const auto found = circuits_.find(group);
     if (found == circuits_.end())
@@ -50,27 +51,27 @@
         circuits_.erase(found);
 }
 
-void CircuitBoard::failed(const GroupId &group, TimePoint now)
+void CircuitBreakerRegistry::failed(const GroupId &group, TimePoint now)
 {
     const std::uint64_t seed = stableHash(group.text(), seed_);
     circuits_.try_emplace(group, program_, policy_, seed).first->second.failed(now);
 }
 
-void CircuitBoard::abandoned(const GroupId &group, TimePoint now)
+void CircuitBreakerRegistry::abandoned(const GroupId &group, TimePoint now)
 {
     const auto found = circuits_.find(group);
     if (found != circuits_.end())
         found->second.abandoned(now);
 }
 
-std::string_view CircuitBoard::status(const GroupId &group, TimePoint now)
+std::string_view CircuitBreakerRegistry::status(const GroupId &group, TimePoint now)
 {
     const auto found = circuits_.find(group);
     return found == circuits_.end() ? program_->table_.states_[program_->table_.initial_]
                                     : found->second.status(now);
 }
 
-TimePoint CircuitBoard::nextTrial() const
+TimePoint CircuitBreakerRegistry::nextTrial() const
 {
     TimePoint next = TimePoint::max();
     for (const auto &[group, circuit] : circuits_)
--- a/src/retries/retry_budget.cpp
+++ b/src/retries/retry_budget.cpp
@@ -6,7 +6,7 @@
 
 RetryBudget::RetryBudget(RetryBudgetPolicy policy)
     : policy_(policy)
-    , balance_(policy.floorPerSecond_)
+    , balance_(policy.minimumPerSecond_)
 {
 }
 
@@ -31,8 +31,8 @@
         // The floor never saves up more than one second's worth, or quiet hours would pay for a
         // burst of retries at the start of an outage.
         const std::chrono::duration<double> passed = now - refilledAt_;
-        const double room = std::max(policy_.floorPerSecond_ - balance_, 0.0);
-        balance_ += std::min(passed.count() * policy_.floorPerSecond_, room);
+        const double room = std::max(policy_.minimumPerSecond_ - balance_, 0.0);
+        balance_ += std::min(passed.count() * policy_.minimumPerSecond_, room);
     }
     hasStarted_ = true;
     refilledAt_ = std::max(refilledAt_, now);
--- a/src/routing/router_state.cpp
+++ b/src/routing/router_state.cpp
@@ -29,7 +29,7 @@
 }
 
 /// \brief Why nothing could be taken; the cause nearest to being usable is named.
-[[nodiscard]] RouteReason reasonForNone(const PassedOver &passedOver)
+[[nodiscard]] RouteReason reasonForNone(const SkippedGroups &passedOver)
 {
     if (passedOver.otherModel_ > 0)
         return RouteReason::OtherModel;
@@ -152,7 +152,7 @@
 }
 
 bool RouterState::mayTake(const GroupView &entry, std::size_t position, const RouteRequest &request,
-                          const Step &step, TimePoint now, PassedOver &passedOver) const
+                          const Step &step, TimePoint now, SkippedGroups &passedOver) const
 {
     std::uint32_t *cause = nullptr;
     if (entry.role_ != step.role_)
@@ -177,7 +177,7 @@
     loads_.assign(count, passedOverLoad);
     locals_.clear();
     remotes_.clear();
-    decision.passedOver_ = PassedOver{};
+    decision.passedOver_ = SkippedGroups{};
     for (std::size_t position = 0; position < count; ++position) {
         const GroupView &entry = view.groups_[position];
         if (!mayTake(entry, position, request, step, now, decision.passedOver_))
--- a/src/routing/router_state.hpp
+++ b/src/routing/router_state.hpp
@@ -52,7 +52,7 @@
                                      const Step &step, TimePoint now);
     [[nodiscard]] bool mayTake(const GroupView &entry, std::size_t position,
                                const RouteRequest &request, const Step &step, TimePoint now,
-                               PassedOver &passedOver) const;
+                               SkippedGroups &passedOver) const;
     void weigh(const ServiceView &view, const RouteRequest &request, const Step &step,
                TimePoint now, RouteDecision &decision, bool takesEjected);
     [[nodiscard]] bool pickByPrefix(const ServiceView &view, const RouteRequest &request,
--- a/src/traffic/dispatcher.cpp
+++ b/src/traffic/dispatcher.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-Dispatcher::Dispatcher(std::uint64_t seed, retries::CircuitProgramPtr circuits,
+Dispatcher::Dispatcher(std::uint64_t seed, retries::CircuitBreakerProgramPtr circuits,
                        const DispatchPolicy &policy)
     : admission_(policy.limits_)
     , router_(seed, policy.router_)
--- a/src/traffic/traffic_service.cpp
+++ b/src/traffic/traffic_service.cpp
@@ -36,7 +36,7 @@
 {
 public:
     Impl(TrafficSettings settings, ControlLink &control, metrics::Registry &registry,
-         const trace::Tracer &tracer, retries::CircuitProgramPtr circuits,
+         const trace::Tracer &tracer, retries::CircuitBreakerProgramPtr circuits,
          const outcomes::AttemptProgramPtr &attempts);
     ~Impl();
     Impl(const Impl &) = delete;
@@ -62,7 +62,7 @@
 
 TrafficService::Impl::Impl(TrafficSettings settings, ControlLink &control,
                            metrics::Registry &registry, const trace::Tracer &tracer,
-                           retries::CircuitProgramPtr circuits,
+                           retries::CircuitBreakerProgramPtr circuits,
                            const outcomes::AttemptProgramPtr &attempts)
     : settings_(std::move(settings))
     , metrics_(registry)
@@ -147,7 +147,7 @@
     const auto attempts = outcomes::makeAttemptProgram(valueOf(attemptChart));
     if (!isOk(attempts))
         return errorOf(attempts);
-    auto circuits = retries::makeCircuitProgram(valueOf(circuitChart));
+    auto circuits = retries::makeCircuitBreakerProgram(valueOf(circuitChart));
     if (!isOk(circuits))
         return errorOf(circuits);
     auto impl = std::make_unique<Impl>(settings, control, registry, tracer,
--- a/tests/retries/circuit.cpp
+++ b/tests/retries/circuit.cpp
@@ -13,11 +13,11 @@
 
 const TimePoint start{std::chrono::hours(1)};
 
-CircuitProgramPtr program()
+CircuitBreakerProgramPtr program()
 {
     const auto chart = chart::loadChart(std::string(SOURCE_FOLDER) + "/charts/circuit.toml");
     cr_assert(isOk(chart), "%s", isOk(chart) ? "" : messageOf(errorOf(chart)).c_str());
-    const auto bound = makeCircuitProgram(valueOf(chart));
+    const auto bound = makeCircuitBreakerProgram(valueOf(chart));
     cr_assert(isOk(bound), "%s", isOk(bound) ? "" : messageOf(errorOf(bound)).c_str());
     return valueOf(bound);
 }
@@ -26,7 +26,7 @@
 
 Test(circuit, opens_after_failures_in_a_row_and_closes_after_a_trial)
 {
-    CircuitBoard board(program());
+    CircuitBreakerRegistry board(program());
     const GroupId group("lm/a/0");
     for (int i = 0; i < 2; ++i)
         board.failed(group, start);
@@ -47,7 +47,7 @@
 Test(circuit, failed_trial_doubles_the_open_time)
 {
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
-        Circuit circuit(program(), {}, seed);
+        CircuitBreaker circuit(program(), {}, seed);
         for (int i = 0; i < 3; ++i)
             circuit.failed(start);
         cr_assert_not(circuit.allows(start + milliseconds(499)));
@@ -63,7 +63,7 @@
 
 Test(circuit, groups_that_fail_together_are_not_tried_again_together)
 {
-    CircuitBoard board(program());
+    CircuitBreakerRegistry board(program());
     for (int i = 0; i < 3; ++i) {
         board.failed(GroupId("lm/a/0"), start);
         board.failed(GroupId("lm/a/1"), start);
@@ -76,7 +76,7 @@
 
 Test(circuit, abandoned_trial_lets_the_next_one_go)
 {
-    Circuit circuit(program());
+    CircuitBreaker circuit(program());
     for (int i = 0; i < 3; ++i)
         circuit.failed(start);
     const TimePoint trial = start + seconds(1);
@@ -90,7 +90,7 @@
 
 Test(circuit, success_between_failures_keeps_it_closed)
 {
-    Circuit circuit(program());
+    CircuitBreaker circuit(program());
     for (int i = 0; i < 20; ++i) {
         circuit.failed(start);
         circuit.failed(start);
@@ -102,7 +102,7 @@
 
 Test(circuit, trial_that_streams_for_long_does_not_keep_the_group_out)
 {
-    Circuit circuit(program());
+    CircuitBreaker circuit(program());
     for (int i = 0; i < 3; ++i)
         circuit.failed(start);
     const TimePoint trial = start + seconds(1);
--- a/tests/traffic/session_bench.cpp
+++ b/tests/traffic/session_bench.cpp
@@ -122,7 +122,7 @@
 }
 
 SessionBench::SessionBench()
-    : dispatcher_(7, valueOf(retries::makeCircuitProgram(chartOf("circuit"))))
+    : dispatcher_(7, valueOf(retries::makeCircuitBreakerProgram(chartOf("circuit"))))
 {
     log::configure(log::Level::Error);
     configuration_.teams_ = {{TeamName("studio"), 1.0, {}}};
--- a/tests/traffic/test_entry.cpp
+++ b/tests/traffic/test_entry.cpp
@@ -62,9 +62,9 @@
     snapshot_.isStoreReachable_ = true;
     // These tests are about sessions, so the retry budget is not what ends them.
     traffic::DispatchPolicy policy;
-    policy.retries_.budget_.floorPerSecond_ = 1000;
+    policy.retries_.budget_.minimumPerSecond_ = 1000;
     dispatcher_ = std::make_unique<traffic::Dispatcher>(
-        7, valueOf(retries::makeCircuitProgram(chartOf("circuit"))), policy);
+        7, valueOf(retries::makeCircuitBreakerProgram(chartOf("circuit"))), policy);
     auto post
         = [this](std::function<void()> action) { boost::asio::post(context_, std::move(action)); };
     const traffic::TrafficContext context{
