--- a/bench/routing_retries.cpp
+++ b/bench/routing_retries.cpp
@@ -6,7 +6,7 @@
 
 #include <cardamombay/chart/chart.hpp>
 #include <cardamombay/core/random.hpp>
-#include <cardamombay/retries/circuit_board.hpp>
+#include <cardamombay/retries/circuit_breaker_registry.hpp>
 #include <cardamombay/retries/retry_policy.hpp>
 #include <cardamombay/routing/router.hpp>
 
--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -154,8 +154,8 @@
 #include <cardamombay/platform/vm_directory.hpp>
 
 #include <cardamombay/retries/backoff.hpp>
-#include <cardamombay/retries/circuit.hpp>
-#include <cardamombay/retries/circuit_board.hpp>
+#include <cardamombay/retries/circuit_breaker.hpp>
+#include <cardamombay/retries/circuit_breaker_registry.hpp>
 #include <cardamombay/retries/retry_budget.hpp>
 #include <cardamombay/retries/retry_policy.hpp>
 
--- a/include/cardamombay/retries/circuit_board.hpp
+++ b/include/cardamombay/retries/circuit_breaker_registry.hpp
@@ -5,7 +5,7 @@
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
-#include <cardamombay/retries/circuit.hpp>
+#include <cardamombay/retries/circuit_breaker.hpp>
 
 #include <cstdint>
 #include <span>
--- a/include/cardamombay/traffic/dispatcher.hpp
+++ b/include/cardamombay/traffic/dispatcher.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include <cardamombay/limits/admission.hpp>
-#include <cardamombay/retries/circuit_board.hpp>
+#include <cardamombay/retries/circuit_breaker_registry.hpp>
 #include <cardamombay/retries/retry_policy.hpp>
 #include <cardamombay/routing/router.hpp>
 #include <cardamombay/traffic/control_link.hpp>
--- a/src/retries/circuit.cpp
+++ b/src/retries/circuit_breaker.cpp
@@ -1,5 +1,5 @@
 #include <cardamombay/core/hash.hpp>
-#include <cardamombay/retries/circuit.hpp>
+#include <cardamombay/retries/circuit_breaker.hpp>
 
 #include <algorithm>
 #include <string>
--- a/src/retries/circuit_board.cpp
+++ b/src/retries/circuit_breaker_registry.cpp
@@ -1,5 +1,5 @@
 #include <cardamombay/core/hash.hpp>
-#include <cardamombay/retries/circuit_board.hpp>
+#include <cardamombay/retries/circuit_breaker_registry.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/tests/retries/circuit.cpp
+++ b/tests/retries/circuit_breaker.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/retries/circuit_board.hpp>
+#include <cardamombay/retries/circuit_breaker_registry.hpp>
 
 #include <string>
 
--- a/tests/traffic/test_entry.cpp
+++ b/tests/traffic/test_entry.cpp
@@ -2,7 +2,7 @@
 
 #include <cardamombay/chart/chart.hpp>
 #include <cardamombay/log/log.hpp>
-#include <cardamombay/retries/circuit.hpp>
+#include <cardamombay/retries/circuit_breaker.hpp>
 
 #include <boost/asio/post.hpp>
 
