--- a/include/cardamombay/limits/admission.hpp
+++ b/include/cardamombay/limits/admission.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Decides which requests may go to endpoints, and when.
-/// \details The module divides the capacity that serves between teams by weighted max-min, and
-/// each team's part between the entry VMs by their demand. It never revokes a slot and never
-/// refuses a request that was handed over, so a refusal is always an honest "not run".
+/// \brief Admission control: which requests may be sent to endpoints, and when.
+/// \details The serving capacity is divided between teams by weighted max-min fairness, and each
+/// team's share between the entry VMs by demand. A slot is never revoked and a request that was
+/// sent is never refused, so a refused request has certainly not run.
 #pragma once
 
 #include <cardamombay/core/decision_log.hpp>
@@ -20,16 +20,16 @@
 class AdmissionState;
 } // namespace impl
 
-/// \brief Slots of one service as one entry VM sees them, for metrics and explanations.
+/// \brief Slot counts of one service at one entry VM, for metrics and decision records.
 struct ServiceLoad
 {
-    std::uint32_t capacity_ = 0; ///< Slots that serve, over all entry VMs.
-    std::uint32_t share_ = 0;    ///< This entry VM's part of them.
+    std::uint32_t capacity_ = 0; ///< Serving slots, over all entry VMs.
+    std::uint32_t share_ = 0;    ///< Slots that this entry VM may use.
     std::uint32_t running_ = 0;
     std::uint32_t waiting_ = 0;
 };
 
-/// \brief Admission of one entry VM; single-threaded.
+/// \brief Admission controller of one entry VM; not thread-safe.
 /// \code
 /// auto decision = admission.offer(request, *snapshot, clock.now());
 /// if (std::holds_alternative<Admitted>(decision))
@@ -43,32 +43,32 @@
     Admission &operator=(const Admission &) = delete;
     ~Admission();
 
-    /// \brief Asks to let \p request in.
-    /// \returns the answer; a queued request gets its final one from release().
+    /// \brief Admits, queues or refuses \p request.
+    /// \returns the decision; the final one for a queued request comes from release().
     [[nodiscard]] AdmissionDecision offer(const AdmissionRequest &request,
                                           const routing::RoutingSnapshot &snapshot, TimePoint now);
 
-    /// \brief The request is over: frees its slot, or takes it out of the queue if its caller left.
+    /// \brief Frees the slot of a finished request, or removes a cancelled one from the queue.
     void finished(const RequestId &request, TimePoint now);
 
-    /// \brief Final answers for queued requests; call after finished(), on a new snapshot, and at
-    /// nextWake().
+    /// \brief Returns the final decisions for queued requests. Call it after finished(), on a new
+    /// snapshot, and at nextWake().
     [[nodiscard]] std::vector<Released> release(const routing::RoutingSnapshot &snapshot,
                                                 TimePoint now);
 
-    /// \brief When release() may have something to say though nothing else happens; the maximum
-    /// if nothing waits.
+    /// \brief The next time to call release() if nothing else happens; TimePoint::max() if no
+    /// request is queued.
     [[nodiscard]] TimePoint nextWake() const;
 
-    /// \brief Own demand for the next digest. Shares are worked out from what was digested, so
-    /// that all entry VMs divide by the same figures.
+    /// \brief Local demand for the next digest. Shares are computed from the demand in digests, so
+    /// that all entry VMs use the same values.
     [[nodiscard]] std::vector<routing::DemandReport> demand(TimePoint now);
 
-    /// \brief The record for "cardamombayctl explain" of a refused request.
+    /// \brief Decision record of a refused request, for "cardamombayctl explain".
     [[nodiscard]] DecisionRecord record(const AdmissionRequest &request, const Shed &answer,
                                         TimePoint now) const;
 
-    /// \brief Slots of \p service.
+    /// \brief Current slot counts of \p service.
     [[nodiscard]] ServiceLoad load(const ServiceName &service) const;
 
 private:
--- a/include/cardamombay/limits/admission_request.hpp
+++ b/include/cardamombay/limits/admission_request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief A request that asks to be let in, and the answers it can get.
+/// \brief Admission request and its possible decisions.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -11,37 +11,37 @@
 
 namespace cardamombay::limits {
 
-/// \brief A request that asks to be let in.
+/// \brief A request to be admitted.
 struct AdmissionRequest
 {
     RequestId request_{};
     ServiceName service_{};
     TeamName team_{};
-    std::uint32_t priority_ = 100;         ///< Higher goes first within the team.
-    TimePoint deadline_{TimePoint::max()}; ///< When the caller stops waiting for the answer.
+    std::uint32_t priority_ = 100;         ///< Higher values are served first within the team.
+    TimePoint deadline_{TimePoint::max()}; ///< When the caller stops waiting for the response.
     bool isNonIdempotent_ = false;
 };
 
-/// \brief Why a request is refused. It was never handed over, so it was not run.
+/// \brief Why a request is refused. A refused request was not sent, so it has not run.
 enum class ShedReason {
     UnknownService, ///< The configuration has no such service.
-    NoCapacity,     ///< No group of the service serves.
-    QueueFull,      ///< The team's queue is full of requests at least as important.
-    TooLate,        ///< It would not be answered before its deadline.
-    QueueTimeout,   ///< It waited as long as the service allows.
-    Displaced       ///< A request of higher priority of the same team took its place.
+    NoCapacity,     ///< No group of the service is serving.
+    QueueFull,      ///< The team's queue is full of requests of at least the same priority.
+    TooLate,        ///< The response would come after the deadline.
+    QueueTimeout,   ///< The queue timeout of the service has expired.
+    Displaced       ///< Evicted from the queue by a request of the same team with higher priority.
 };
 
 /// \brief Short name, for logs and metrics, such as "queue-full".
 [[nodiscard]] std::string_view nameOf(ShedReason reason);
 
-/// \brief The request goes to an endpoint now and holds a slot until finished().
+/// \brief The request may be sent now; it occupies a slot until finished().
 struct Admitted
 {
     friend bool operator==(Admitted, Admitted) = default;
 };
 
-/// \brief The request waits; release() gives the final answer.
+/// \brief The request is queued; release() returns the final decision.
 struct Queued
 {
     Duration expectedWait_{};
@@ -49,7 +49,7 @@
     friend bool operator==(Queued, Queued) = default;
 };
 
-/// \brief The request is refused and forgotten.
+/// \brief The request is refused and no longer tracked.
 struct Shed
 {
     ShedReason reason_ = ShedReason::NoCapacity;
@@ -58,10 +58,10 @@
     friend bool operator==(const Shed &, const Shed &) = default;
 };
 
-/// \brief Answer to an offer.
+/// \brief Result of Admission::offer().
 using AdmissionDecision = std::variant<Admitted, Queued, Shed>;
 
-/// \brief Final answer to a request that was queued.
+/// \brief Final decision for a queued request.
 struct Released
 {
     RequestId request_;
--- a/include/cardamombay/limits/fair_share.hpp
+++ b/include/cardamombay/limits/fair_share.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Division of capacity: weighted max-min, and whole slots by largest remainder.
+/// \brief Division of capacity by weighted max-min fairness, rounded by largest remainder.
 /// \details Pure functions of demand and weights, so that all entry VMs with the same digests
-/// compute the same shares. They admit nothing themselves.
+/// compute the same shares.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,25 @@
 
 namespace cardamombay::limits {
 
-/// \brief What one team asks of a capacity.
+/// \brief Weight and demand of one team.
 struct WeightedDemand
 {
     double weight_ = 1.0;
     double demand_ = 0;
 };
 
-/// \brief Weighted max-min shares: nobody gets more than its demand, and what one leaves is
-/// divided between the others by weight.
-/// \param capacity what is divided.
-/// \param demands one for each team; a weight of zero or less gets nothing while others want it.
-/// \returns the share of each team; their sum is the lesser of capacity and demand.
+/// \brief Weighted max-min shares: no team gets more than its demand, and capacity that a team
+/// does not use is divided between the others by weight.
+/// \param capacity the capacity to divide.
+/// \param demands one element per team; a team with a weight of zero or less gets nothing.
+/// \returns the share of each team; their sum is the smaller of capacity and the total demand of
+/// the teams with a positive weight.
 [[nodiscard]] std::vector<double> weightedMaxMin(double capacity,
                                                  std::span<const WeightedDemand> demands);
 
-/// \brief Rounds \p parts to whole slots whose sum is \p total, by largest remainder; among equal
-/// remainders the earlier part wins.
+/// \brief Divides \p total slots in the given \p proportions and rounds to whole slots by largest
+/// remainder; ties go to the earlier element. All results are zero if the proportions sum to zero.
 [[nodiscard]] std::vector<std::uint32_t> largestRemainder(std::uint32_t total,
-                                                          std::span<const double> parts);
+                                                          std::span<const double> proportions);
 
 } // namespace cardamombay::limits
--- a/include/cardamombay/limits/limits_policy.hpp
+++ b/include/cardamombay/limits/limits_policy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Settings of admission.
+/// \brief Settings of admission control.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -8,16 +8,18 @@
 
 namespace cardamombay::limits {
 
-/// \brief Settings of admission.
+/// \brief Settings of admission control.
 struct LimitsPolicy
 {
-    std::uint32_t queueLimit_ = 256; ///< Waiting requests of one team for one service.
-    double waitMargin_ = 0.6;        ///< Expected wait over the queue timeout that is still let in.
-    std::uint32_t entryFloor_ = 1;   ///< Slots every entry VM may use, whatever its share.
-    Duration outageGrace_ = std::chrono::milliseconds(500); ///< Wait for capacity that blinked.
+    std::uint32_t queueLimit_ = 256; ///< Queued requests of one team for one service.
+    /// \brief Longest expected wait that is still queued, as a fraction of the queue timeout.
+    double maximumWaitFraction_ = 0.6;
+    std::uint32_t minimumSlotsPerEntry_ = 1; ///< Slots of every entry VM, whatever its share.
+    /// \brief Requests are still queued while the capacity has been zero for less than this.
+    Duration outageGrace_ = std::chrono::milliseconds(500);
     Duration minimumRetryAfter_ = std::chrono::seconds(1);
     Duration maximumRetryAfter_ = std::chrono::seconds(30);
-    Duration shareLife_ = std::chrono::milliseconds(200); ///< Shares are worked out this often.
+    Duration shareMaxAge_ = std::chrono::milliseconds(200); ///< Older shares are recomputed.
 };
 
 } // namespace cardamombay::limits
--- a/src/limits/admission.cpp
+++ b/src/limits/admission.cpp
@@ -31,12 +31,12 @@
 
 namespace impl {
 
-/// \brief A request that runs or waits.
-struct Held
+/// \brief An admitted or queued request.
+struct TrackedRequest
 {
     ServiceLimits *service_ = nullptr;
     TeamLimits *team_ = nullptr;
-    std::optional<QueueKey> waiting_; ///< Set while it waits.
+    std::optional<QueueKey> waiting_; ///< Set while the request is queued.
     TimePoint admittedAt_{};
 };
 
@@ -50,7 +50,7 @@
 
     LimitsPolicy policy_;
     std::unordered_map<ServiceName, ServiceLimits> services_;
-    std::unordered_map<RequestId, Held> held_;
+    std::unordered_map<RequestId, TrackedRequest> requests_;
 
     ServiceLimits &service(const ServiceName &name)
     {
@@ -78,24 +78,24 @@
     AdmissionDecision decision = service.offer(request, *declared, snapshot, now);
     if (std::holds_alternative<Shed>(decision))
         return decision;
-    impl::Held held{&service, &service.team(request.team_), std::nullopt, now};
+    impl::TrackedRequest tracked{&service, &service.team(request.team_), std::nullopt, now};
     if (std::holds_alternative<Queued>(decision))
-        held.waiting_ = impl::QueueKey{request.priority_, service.lastArrival()};
-    state_->held_.insert_or_assign(request.request_, held);
+        tracked.waiting_ = impl::QueueKey{request.priority_, service.lastArrival()};
+    state_->requests_.insert_or_assign(request.request_, tracked);
     return decision;
 }
 
 void Admission::finished(const RequestId &request, TimePoint now)
 {
-    const auto found = state_->held_.find(request);
-    if (found == state_->held_.end())
+    const auto found = state_->requests_.find(request);
+    if (found == state_->requests_.end())
         return;
-    const impl::Held held = found->second;
-    state_->held_.erase(found);
-    if (held.waiting_)
-        held.service_->withdraw(*held.team_, *held.waiting_);
+    const impl::TrackedRequest tracked = found->second;
+    state_->requests_.erase(found);
+    if (tracked.waiting_)
+        tracked.service_->removeFromQueue(*tracked.team_, *tracked.waiting_);
     else
-        held.service_->free(*held.team_, held.admittedAt_, now);
+        tracked.service_->releaseSlot(*tracked.team_, tracked.admittedAt_, now);
 }
 
 std::vector<Released> Admission::release(const routing::RoutingSnapshot &snapshot, TimePoint now)
@@ -104,17 +104,17 @@
     for (auto &[name, service] : state_->services_) {
         const config::Service *declared
             = snapshot.configuration_ ? snapshot.configuration_->service(name) : nullptr;
-        // A service taken out of the configuration has no groups, so its queue empties as such.
+        // A service removed from the configuration has no capacity, so its queue is refused.
         config::Service removed;
         removed.name_ = name;
         service.release(declared ? *declared : removed, snapshot, now, released);
     }
     for (const Released &answer : released) {
-        const auto found = state_->held_.find(answer.request_);
-        if (found == state_->held_.end())
+        const auto found = state_->requests_.find(answer.request_);
+        if (found == state_->requests_.end())
             continue;
         if (std::holds_alternative<Shed>(answer.answer_)) {
-            state_->held_.erase(found);
+            state_->requests_.erase(found);
             continue;
         }
         found->second.waiting_.reset();
--- a/src/limits/service_limits.cpp
+++ b/src/limits/service_limits.cpp
@@ -12,23 +12,25 @@
 
 namespace {
 
-constexpr double newSampleWeight = 0.01;
-constexpr double allowanceSeconds = 3;
+constexpr double minimumSampleWeight = 0.01;
+constexpr double allowanceTimeConstantSeconds = 3;
 constexpr Duration outageRetryAfter = std::chrono::seconds(5);
 
-/// A queued request is given up only if it is this much later than allowed, as estimates waver.
-constexpr double hopelessFactor = 1.5;
+/// Queued requests are dropped early only if their expected wait exceeds the time left by this
+/// factor, since the estimate fluctuates.
+constexpr double lateDropFactor = 1.5;
 
-/// \brief Slots above a share that a team may use for a time: as much as its demand wavers.
-[[nodiscard]] double burst(double share)
+/// \brief Slots above its share that a team may use for a short time: the square root of the share,
+/// as random demand fluctuates by about that much.
+[[nodiscard]] double burstAllowance(double share)
 {
     return std::sqrt(share);
 }
 
-[[nodiscard]] Duration boundedSeconds(double value)
+[[nodiscard]] Duration clampedSeconds(double value)
 {
-    constexpr double longest = 3600;
-    return fromSeconds(std::min(value, longest));
+    constexpr double maximumSeconds = 3600;
+    return fromSeconds(std::min(value, maximumSeconds));
 }
 
 } // namespace
@@ -38,7 +40,7 @@
     const auto [found, isNew] = teams_.try_emplace(name);
     if (isNew) {
         found->second.name_ = name;
-        found->second.share_ = shares_.of(name);
+        found->second.share_ = shares_.shareOf(name);
     }
     return found->second;
 }
@@ -47,50 +49,50 @@
                                        const config::Service &service,
                                        const routing::RoutingSnapshot &snapshot, TimePoint now)
 {
-    refresh(service, snapshot, now);
-    TeamLimits &owner = team(request.team_);
-    owner.offered_.add(now);
-    if (isOut(now))
+    updateShares(service, snapshot, now);
+    TeamLimits &teamLimits = team(request.team_);
+    teamLimits.offeredRate_.add(now);
+    if (hasOutage(now))
         return shed(request.request_, ShedReason::NoCapacity, outageRetryAfter);
     const bool hasTime = request.deadline_ - now > serviceTimeNeeded(request.isNonIdempotent_);
     if (!hasTime)
         return shed(request.request_, ShedReason::TooLate, Duration::zero());
     if (waiting_ == 0 && running_ < shares_.slots_) {
-        admit(owner, now);
+        admit(teamLimits, now);
         return Admitted{};
     }
-    return enqueue(owner, request, service, now);
+    return enqueue(teamLimits, request, service, now);
 }
 
 AdmissionDecision ServiceLimits::enqueue(TeamLimits &team, const AdmissionRequest &request,
                                          const config::Service &service, TimePoint now)
 {
-    const QueueKey key{request.priority_, ++arrivals_};
+    const QueueKey key{request.priority_, ++arrivalCount_};
     const auto ahead = std::distance(team.queue_.begin(), team.queue_.lower_bound(key));
     const Duration wait = expectedWait(team, static_cast<std::size_t>(ahead));
-    // Estimates waver; a team that has its share already can wait for a surer place.
+    // The estimate fluctuates, so a team that already has its share is queued only with a margin.
     const bool hasShare = team.running_ + double(team.queue_.size()) >= team.share_;
-    const double margin = hasShare ? policy_.waitMargin_ : 1;
+    const double margin = hasShare ? policy_.maximumWaitFraction_ : 1;
     if (double(wait.count()) > margin * double(service.queueTimeout_.count()))
         return shed(request.request_, ShedReason::TooLate, wait);
     if (request.deadline_ - now < wait + serviceTimeNeeded(request.isNonIdempotent_))
         return shed(request.request_, ShedReason::TooLate, wait);
-    if (team.queue_.size() >= policy_.queueLimit_ && !makeRoom(team, request.priority_))
+    if (team.queue_.size() >= policy_.queueLimit_ && !evictLowestPriority(team, request.priority_))
         return shed(request.request_, ShedReason::QueueFull, wait);
 
     const TimePoint expires = std::min(now + service.queueTimeout_, request.deadline_);
     team.queue_.emplace(
-        key, Waiting{request.request_, request.deadline_, expires, request.isNonIdempotent_});
+        key, QueuedRequest{request.request_, request.deadline_, expires, request.isNonIdempotent_});
     expiries_.insert({expires, {team.name_, key}});
     ++waiting_;
     return Queued{wait};
 }
 
-bool ServiceLimits::makeRoom(TeamLimits &team, std::uint32_t priority)
+bool ServiceLimits::evictLowestPriority(TeamLimits &team, std::uint32_t priority)
 {
     if (team.queue_.empty() || std::prev(team.queue_.end())->first.priority_ >= priority)
         return false;
-    dropLast(team, ShedReason::Displaced, displaced_);
+    dropLastQueued(team, ShedReason::Displaced, displaced_);
     return true;
 }
 
@@ -98,20 +100,21 @@
 {
     ++running_;
     ++team.running_;
-    team.usage_.set(now, team.running_);
+    team.averageRunning_.set(now, team.running_);
 }
 
-void ServiceLimits::free(TeamLimits &team, TimePoint admittedAt, TimePoint now)
+void ServiceLimits::releaseSlot(TeamLimits &team, TimePoint admittedAt, TimePoint now)
 {
     --running_;
     --team.running_;
-    team.usage_.set(now, team.running_);
-    const double taken = toSeconds(now - admittedAt);
-    ++served_;
-    serviceTime_ += std::max(newSampleWeight, 1.0 / double(served_)) * (taken - serviceTime_);
+    team.averageRunning_.set(now, team.running_);
+    const double serviceSeconds = toSeconds(now - admittedAt);
+    ++completedCount_;
+    meanServiceSeconds_ += std::max(minimumSampleWeight, 1.0 / double(completedCount_))
+                           * (serviceSeconds - meanServiceSeconds_);
 }
 
-void ServiceLimits::withdraw(TeamLimits &team, const QueueKey &key)
+void ServiceLimits::removeFromQueue(TeamLimits &team, const QueueKey &key)
 {
     const auto found = team.queue_.find(key);
     if (found == team.queue_.end())
@@ -129,36 +132,36 @@
     displaced_.clear();
     if (waiting_ == 0)
         return;
-    refresh(service, snapshot, now);
-    if (isOut(now)) {
+    updateShares(service, snapshot, now);
+    if (hasOutage(now)) {
         dropAll(out);
         return;
     }
     dropExpired(now, out);
     while (waiting_ > 0 && running_ < shares_.slots_) {
-        TeamLimits &next = *mostBehind(now);
+        TeamLimits &next = *mostUnderservedTeam(now);
         const auto first = next.queue_.begin();
         out.push_back({first->second.request_, Admitted{}});
-        withdraw(next, QueueKey(first->first));
+        removeFromQueue(next, QueueKey(first->first));
         admit(next, now);
     }
     if (std::exchange(hasNewShares_, false))
-        dropHopeless(now, out);
+        dropLateRequests(now, out);
 }
 
-TeamLimits *ServiceLimits::mostBehind(TimePoint now)
+TeamLimits *ServiceLimits::mostUnderservedTeam(TimePoint now)
 {
     TeamLimits *best = nullptr;
     double bestRatio = std::numeric_limits<double>::infinity();
     for (auto &[name, candidate] : teams_) {
         if (candidate.queue_.empty())
             continue;
-        // The average lets a team make up for moments without demand and keeps a share below one
-        // slot honest; the count bounds what it can make up at once.
+        // The average lets a team catch up after a pause in its demand and makes shares below one
+        // slot work; above the burst allowance the current count limits the catching up.
         const double share = candidate.share_;
-        const bool isOver = candidate.running_ >= share + burst(share);
-        const double average = candidate.usage_.average(now);
-        const double used = isOver ? std::max(average, double(candidate.running_)) : average;
+        const bool exceedsBurst = candidate.running_ >= share + burstAllowance(share);
+        const double average = candidate.averageRunning_.average(now);
+        const double used = exceedsBurst ? std::max(average, double(candidate.running_)) : average;
         const double ratio = used / share;
         const bool isBetter
             = !best || ratio < bestRatio || (ratio == bestRatio && name < best->name_);
@@ -172,156 +175,162 @@
 
 Duration ServiceLimits::expectedWait(const TeamLimits &team, std::size_t ahead) const
 {
-    const Rivals rivals = rivalsOf(team);
-    const double turns = double(ahead + 1);
+    const Contention contention = contentionFor(team);
+    const double queuePosition = double(ahead + 1);
     const double share = team.share_;
-    const double atRest = turns * serviceTime_ / std::max(share, rivals.slotsLeft_);
-    if (team.running_ + double(ahead) >= share + burst(share))
-        return boundedSeconds(atRest);
-    // Below its share, a team gets every slot that comes free, in turn with others below theirs.
+    const double waitAtShare
+        = queuePosition * meanServiceSeconds_ / std::max(share, contention.slotsLeft_);
+    if (team.running_ + double(ahead) >= share + burstAllowance(share))
+        return clampedSeconds(waitAtShare);
+    // A team below its share gets every free slot, in turn with other teams below theirs.
     const double slots = std::max(shares_.slots_, 1U);
-    const double inTurn = turns * (rivals.teamsBelowShare_ + 1) * serviceTime_ / slots;
-    return boundedSeconds(std::min(atRest, inTurn));
+    const double waitBelowShare
+        = queuePosition * (contention.teamsBelowShare_ + 1) * meanServiceSeconds_ / slots;
+    return clampedSeconds(std::min(waitAtShare, waitBelowShare));
 }
 
-ServiceLimits::Rivals ServiceLimits::rivalsOf(const TeamLimits &team) const
+ServiceLimits::Contention ServiceLimits::contentionFor(const TeamLimits &team) const
 {
-    Rivals rivals;
-    rivals.slotsLeft_ = double(shares_.slots_) - double(running_ - team.running_);
+    Contention contention;
+    contention.slotsLeft_ = double(shares_.slots_) - double(running_ - team.running_);
     if (waiting_ == team.queue_.size())
-        return rivals;
+        return contention;
     for (const auto &[name, other] : teams_) {
         if (&other == &team || other.queue_.empty())
             continue;
-        const double below = other.share_ - other.running_;
-        if (below <= 0)
+        const double deficit = other.share_ - other.running_;
+        if (deficit <= 0)
             continue;
-        rivals.slotsLeft_ -= below;
-        rivals.teamsBelowShare_ += 1;
+        contention.slotsLeft_ -= deficit;
+        contention.teamsBelowShare_ += 1;
     }
-    return rivals;
+    return contention;
 }
 
 Duration ServiceLimits::serviceTimeNeeded(bool isNonIdempotent) const
 {
-    // A non-idempotent request that times out leaves its caller with "unknown", so it is let in
-    // only with time to finish; others may still be short ones.
+    // A non-idempotent request that times out has an unknown outcome, so it is admitted only with
+    // the mean service time left. Others may be shorter than the mean.
     constexpr double shortRequest = 0.25;
-    return boundedSeconds(isNonIdempotent ? serviceTime_ : shortRequest * serviceTime_);
+    return clampedSeconds(isNonIdempotent ? meanServiceSeconds_
+                                          : shortRequest * meanServiceSeconds_);
 }
 
 void ServiceLimits::dropExpired(TimePoint now, std::vector<Released> &out)
 {
     while (!expiries_.empty() && expiries_.begin()->first <= now) {
         const auto [name, key] = expiries_.begin()->second;
-        TeamLimits &owner = team(name);
-        const RequestId request = owner.queue_.at(key).request_;
-        const Duration wait = expectedWait(owner, owner.queue_.size());
-        withdraw(owner, key);
+        TeamLimits &teamLimits = team(name);
+        const RequestId request = teamLimits.queue_.at(key).request_;
+        const Duration wait = expectedWait(teamLimits, teamLimits.queue_.size());
+        removeFromQueue(teamLimits, key);
         out.push_back({request, shed(request, ShedReason::QueueTimeout, wait)});
     }
 }
 
-void ServiceLimits::dropHopeless(TimePoint now, std::vector<Released> &out)
+void ServiceLimits::dropLateRequests(TimePoint now, std::vector<Released> &out)
 {
-    for (auto &[name, owner] : teams_) {
-        while (!owner.queue_.empty()) {
-            const Waiting &last = std::prev(owner.queue_.end())->second;
-            const Duration wait = expectedWait(owner, owner.queue_.size() - 1);
-            if (double(wait.count()) <= hopelessFactor * double((last.expires_ - now).count()))
+    for (auto &[name, teamLimits] : teams_) {
+        while (!teamLimits.queue_.empty()) {
+            const QueuedRequest &last = std::prev(teamLimits.queue_.end())->second;
+            const Duration wait = expectedWait(teamLimits, teamLimits.queue_.size() - 1);
+            if (double(wait.count()) <= lateDropFactor * double((last.expires_ - now).count()))
                 break;
-            dropLast(owner, ShedReason::TooLate, out);
+            dropLastQueued(teamLimits, ShedReason::TooLate, out);
         }
     }
 }
 
 void ServiceLimits::dropAll(std::vector<Released> &out)
 {
-    for (auto &[name, owner] : teams_) {
-        while (!owner.queue_.empty())
-            dropLast(owner, ShedReason::NoCapacity, out);
+    for (auto &[name, teamLimits] : teams_) {
+        while (!teamLimits.queue_.empty())
+            dropLastQueued(teamLimits, ShedReason::NoCapacity, out);
     }
 }
 
-void ServiceLimits::dropLast(TeamLimits &team, ShedReason reason, std::vector<Released> &out)
+void ServiceLimits::dropLastQueued(TeamLimits &team, ShedReason reason, std::vector<Released> &out)
 {
     const auto last = std::prev(team.queue_.end());
     const RequestId request = last->second.request_;
     const Duration wait = expectedWait(team, team.queue_.size() - 1);
-    withdraw(team, QueueKey(last->first));
+    removeFromQueue(team, QueueKey(last->first));
     out.push_back({request, shed(request, reason, wait)});
 }
 
 Shed ServiceLimits::shed(const RequestId &request, ShedReason reason, Duration wait) const
 {
-    // Callers that are refused together must not come back together.
-    const double spread = 0.5 + double(stableHash(request.text()) >> 11) * 0x1p-53;
-    const double spreadWait = spread * double(wait.count());
-    const Duration retryAfter{static_cast<Duration::rep>(spreadWait)};
+    // The jitter keeps callers that are refused at the same time from retrying at the same time.
+    const double jitter = 0.5 + double(stableHash(request.text()) >> 11) * 0x1p-53;
+    const double jitteredWait = jitter * double(wait.count());
+    const Duration retryAfter{static_cast<Duration::rep>(jitteredWait)};
     return Shed{reason,
                 std::clamp(retryAfter, policy_.minimumRetryAfter_, policy_.maximumRetryAfter_)};
 }
 
-bool ServiceLimits::isOut(TimePoint now) const
+bool ServiceLimits::hasOutage(TimePoint now) const
 {
-    return shares_.capacity_ == 0 && now - servedAt_ >= policy_.outageGrace_;
+    return shares_.capacity_ == 0 && now - lastCapacityAt_ >= policy_.outageGrace_;
 }
 
-void ServiceLimits::refresh(const config::Service &service,
-                            const routing::RoutingSnapshot &snapshot, TimePoint now)
+void ServiceLimits::updateShares(const config::Service &service,
+                                 const routing::RoutingSnapshot &snapshot, TimePoint now)
 {
-    const bool isCurrent = sharesAt_ && sharesOf_ == snapshot.sequence_ && snapshot.sequence_ != 0
-                           && now - *sharesAt_ < policy_.shareLife_;
+    const bool isCurrent = sharesUpdatedAt_ && sharesSequence_ == snapshot.sequence_
+                           && snapshot.sequence_ != 0
+                           && now - *sharesUpdatedAt_ < policy_.shareMaxAge_;
     if (isCurrent)
         return;
     const std::uint32_t capacity = servingCapacity(snapshot, service, now);
-    const auto own = ownDemand(snapshot.peerDemand_.empty(), now);
-    shares_ = divideCapacity(snapshot, name_, capacity, own, policy_);
-    reduceSlots(allowanceByReports(snapshot, name_, now), now);
-    for (auto &[name, owner] : teams_)
-        owner.share_ = shares_.of(name);
-    sharesOf_ = snapshot.sequence_;
-    sharesAt_ = now;
+    const auto demands = localDemand(snapshot.peerDemand_.empty(), now);
+    shares_ = divideCapacity(snapshot, name_, capacity, demands, policy_);
+    applyLoadAllowance(reportedLoadAllowance(snapshot, name_, now), now);
+    for (auto &[name, teamLimits] : teams_)
+        teamLimits.share_ = shares_.shareOf(name);
+    sharesSequence_ = snapshot.sequence_;
+    sharesUpdatedAt_ = now;
     if (capacity > 0)
-        servedAt_ = now;
+        lastCapacityAt_ = now;
     hasNewShares_ = true;
 }
 
-void ServiceLimits::reduceSlots(double allowance, TimePoint now)
+void ServiceLimits::applyLoadAllowance(double allowance, TimePoint now)
 {
-    // Smoothed, as the reports lag: the slots would swing between all and few.
-    const double passed = sharesAt_ ? toSeconds(now - *sharesAt_) : 0;
-    allowance_ += (allowance - allowance_) * std::min(passed / allowanceSeconds, 1.0);
-    shares_.reduce(allowance_);
+    // Smoothed, since reports lag: otherwise the slots would oscillate between all and few.
+    const double elapsedSeconds = sharesUpdatedAt_ ? toSeconds(now - *sharesUpdatedAt_) : 0;
+    loadAllowance_ += (allowance - loadAllowance_)
+                      * std::min(elapsedSeconds / allowanceTimeConstantSeconds, 1.0);
+    shares_.scale(loadAllowance_);
 }
 
-std::vector<OwnDemand> ServiceLimits::ownDemand(bool isAlone, TimePoint now) const
+std::vector<LocalDemand> ServiceLimits::localDemand(bool hasNoPeers, TimePoint now) const
 {
-    std::vector<OwnDemand> own;
-    own.reserve(teams_.size());
-    for (const auto &[name, owner] : teams_)
-        own.push_back({name, isAlone ? liveDemand(owner, now) : owner.heard_});
-    return own;
+    std::vector<LocalDemand> demands;
+    demands.reserve(teams_.size());
+    for (const auto &[name, teamLimits] : teams_)
+        demands.push_back(
+            {name, hasNoPeers ? currentDemand(teamLimits, now) : teamLimits.knownToPeers_});
+    return demands;
 }
 
-double ServiceLimits::liveDemand(const TeamLimits &team, TimePoint now) const
+double ServiceLimits::currentDemand(const TeamLimits &team, TimePoint now) const
 {
-    // What is refused counts too, or an entry VM with a small share would never show that it
-    // needs a larger one: offered rate times service time is the slots it would fill.
+    // Refused requests count too, or an entry VM with a small share could not show that it needs a
+    // larger one. By Little's law, offered rate times service time is the number of slots needed.
     const double present = double(team.running_) + double(team.queue_.size());
-    return std::max(present, std::ceil(team.offered_.perSecond(now) * serviceTime_));
+    return std::max(present, std::ceil(team.offeredRate_.perSecond(now) * meanServiceSeconds_));
 }
 
 void ServiceLimits::reportDemand(TimePoint now, std::vector<routing::DemandReport> &out)
 {
-    for (auto &[name, owner] : teams_) {
-        // Peers divide by what they heard last, which is what was said before this.
-        owner.heard_ = owner.digested_;
-        owner.digested_ = liveDemand(owner, now);
-        if (owner.digested_ <= 0)
+    for (auto &[name, teamLimits] : teams_) {
+        // Peers compute shares from the digest they received last, which is the previous one.
+        teamLimits.knownToPeers_ = teamLimits.lastReported_;
+        teamLimits.lastReported_ = currentDemand(teamLimits, now);
+        if (teamLimits.lastReported_ <= 0)
             continue;
-        const auto total = static_cast<std::uint32_t>(owner.digested_);
-        out.push_back({name_, name, owner.running_, total - owner.running_});
+        const auto total = static_cast<std::uint32_t>(teamLimits.lastReported_);
+        out.push_back({name_, name, teamLimits.running_, total - teamLimits.running_});
     }
 }
 
@@ -329,9 +338,9 @@
 {
     if (!displaced_.empty())
         return TimePoint{};
-    if (expiries_.empty() || !sharesAt_)
+    if (expiries_.empty() || !sharesUpdatedAt_)
         return TimePoint::max();
-    return std::min(expiries_.begin()->first, *sharesAt_ + policy_.shareLife_);
+    return std::min(expiries_.begin()->first, *sharesUpdatedAt_ + policy_.shareMaxAge_);
 }
 
 } // namespace cardamombay::limits::impl
--- a/src/limits/share_table.cpp
+++ b/src/limits/share_table.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double smallestShare = 0.01;
+constexpr double minimumShare = 0.01;
 
-/// Above what digests that lag bring about; see docs/measurements/routing.md.
+/// Above the overshoot that lagging digests cause; see docs/measurements/routing.md.
 constexpr double toleratedOvershoot = 1.1;
 
 /// \brief One team's demand at each entry VM, in the order of entry identifiers.
@@ -23,28 +23,29 @@
     std::vector<double> byEntry_;
 };
 
-/// \brief Demand of all teams at all entry VMs. Teams are ordered by name, so that each entry VM
-/// adds the same numbers in the same order.
+/// \brief Demand of all teams at all entry VMs. Teams are ordered by name, so that every entry VM
+/// sums the same numbers in the same order.
 struct DemandMatrix
 {
-    std::size_t entries_ = 0;
+    std::size_t entryCount_ = 0;
     std::size_t self_ = 0; ///< Position of this entry VM.
     std::map<TeamName, TeamRow> teams_;
 
     void add(const TeamName &team, std::size_t entry, double demand)
     {
         TeamRow &row = teams_[team];
-        row.byEntry_.resize(entries_, 0.0);
+        row.byEntry_.resize(entryCount_, 0.0);
         row.byEntry_[entry] += demand;
         row.total_ += demand;
     }
 };
 
-[[nodiscard]] DemandMatrix readDemand(const routing::RoutingSnapshot &snapshot,
-                                      const ServiceName &service, std::span<const OwnDemand> own)
+[[nodiscard]] DemandMatrix buildDemandMatrix(const routing::RoutingSnapshot &snapshot,
+                                             const ServiceName &service,
+                                             std::span<const LocalDemand> localDemands)
 {
     DemandMatrix matrix;
-    matrix.entries_ = snapshot.peerDemand_.size() + 1;
+    matrix.entryCount_ = snapshot.peerDemand_.size() + 1;
     for (const routing::PeerDemand &peer : snapshot.peerDemand_) {
         if (peer.entry_ < snapshot.self_)
             ++matrix.self_;
@@ -59,7 +60,7 @@
         }
         ++position;
     }
-    for (const OwnDemand &demand : own) {
+    for (const LocalDemand &demand : localDemands) {
         if (demand.demand_ > 0)
             matrix.add(demand.team_, matrix.self_, demand.demand_);
     }
@@ -71,7 +72,7 @@
     return matrix;
 }
 
-[[nodiscard]] std::vector<double> shareOfTeams(const DemandMatrix &matrix, double capacity)
+[[nodiscard]] std::vector<double> divideBetweenTeams(const DemandMatrix &matrix, double capacity)
 {
     std::vector<WeightedDemand> demands;
     demands.reserve(matrix.teams_.size());
@@ -90,7 +91,7 @@
         return 0;
     std::map<AvailabilityZone, std::uint32_t> serving;
     for (const routing::SnapshotGroup &group : groups->groups_) {
-        // A prefill group hands its requests over; the decode group carries them.
+        // A prefill group passes its requests on to a decode group, which is the one that counts.
         if (group.isUsable(now) && group.role_ != endpoint::GroupRole::Prefill)
             serving[group.zone_] += group.capacity_;
     }
@@ -105,79 +106,81 @@
     return sum;
 }
 
-double ShareTable::of(const TeamName &team) const
+double ShareTable::shareOf(const TeamName &team) const
 {
     const auto found = byTeam_.find(team);
-    const double share = found == byTeam_.end() ? level_ / double(entries_) : found->second;
-    return std::max(share, smallestShare);
+    const double share
+        = found == byTeam_.end() ? slotsPerWeight_ / double(entryCount_) : found->second;
+    return std::max(share, minimumShare);
 }
 
-void ShareTable::reduce(double part)
+void ShareTable::scale(double factor)
 {
-    slots_ = std::min(slots_, static_cast<std::uint32_t>(std::ceil(part * slots_)));
-    level_ *= part;
+    slots_ = std::min(slots_, static_cast<std::uint32_t>(std::ceil(factor * slots_)));
+    slotsPerWeight_ *= factor;
     for (auto &[team, share] : byTeam_)
-        share *= part;
+        share *= factor;
 }
 
-double allowanceByReports(const routing::RoutingSnapshot &snapshot, const ServiceName &service,
-                          TimePoint now)
+double reportedLoadAllowance(const routing::RoutingSnapshot &snapshot, const ServiceName &service,
+                             TimePoint now)
 {
     const routing::SnapshotService *groups = snapshot.service(service);
     if (!groups)
         return 1;
-    double taken = 0;
-    double held = 0;
+    double groupCapacity = 0;
+    double inFlight = 0;
     for (const routing::SnapshotGroup &group : groups->groups_) {
         if (!group.isUsable(now))
             continue;
-        taken += group.capacity_;
-        held += double(group.load_.running_) + double(group.load_.queued_);
+        groupCapacity += group.capacity_;
+        inFlight += double(group.load_.running_) + double(group.load_.queued_);
     }
-    const double bound = toleratedOvershoot * taken;
-    return held <= bound ? 1 : bound * bound / (held * held);
+    const double bound = toleratedOvershoot * groupCapacity;
+    return inFlight <= bound ? 1 : bound * bound / (inFlight * inFlight);
 }
 
 ShareTable divideCapacity(const routing::RoutingSnapshot &snapshot, const ServiceName &service,
-                          std::uint32_t capacity, std::span<const OwnDemand> own,
+                          std::uint32_t capacity, std::span<const LocalDemand> localDemands,
                           const LimitsPolicy &policy)
 {
-    const DemandMatrix matrix = readDemand(snapshot, service, own);
-    const std::vector<double> shares = shareOfTeams(matrix, capacity);
-    const auto entries = double(matrix.entries_);
+    const DemandMatrix matrix = buildDemandMatrix(snapshot, service, localDemands);
+    const std::vector<double> shares = divideBetweenTeams(matrix, capacity);
+    const auto entryCount = double(matrix.entryCount_);
 
     ShareTable table;
     table.capacity_ = capacity;
-    table.entries_ = matrix.entries_;
-    std::vector<double> entryParts(matrix.entries_, 0.0);
-    std::vector<double> entryDemand(matrix.entries_, 0.0);
-    double spare = capacity;
+    table.entryCount_ = matrix.entryCount_;
+    std::vector<double> entryShares(matrix.entryCount_, 0.0);
+    std::vector<double> entryDemand(matrix.entryCount_, 0.0);
+    double unclaimed = capacity;
     double demand = 0;
     std::size_t index = 0;
     for (const auto &[name, row] : matrix.teams_) {
         const double share = shares[index++];
-        spare -= share;
+        unclaimed -= share;
         demand += row.total_;
-        for (std::size_t entry = 0; entry < matrix.entries_; ++entry) {
-            entryParts[entry] += share * row.byEntry_[entry] / row.total_;
+        for (std::size_t entry = 0; entry < matrix.entryCount_; ++entry) {
+            entryShares[entry] += share * row.byEntry_[entry] / row.total_;
             entryDemand[entry] += row.byEntry_[entry];
         }
-        table.level_ = std::max(table.level_, share / std::max(row.weight_, smallestShare));
+        table.slotsPerWeight_
+            = std::max(table.slotsPerWeight_, share / std::max(row.weight_, minimumShare));
     }
-    spare = std::max(spare, 0.0);
-    table.level_ += spare / double(matrix.teams_.size() + 1);
-    // A team that wants less than the level may still have up to it, so a burst of a small team
-    // is not held to its average. The one added evens out the counts of small teams.
+    unclaimed = std::max(unclaimed, 0.0);
+    table.slotsPerWeight_ += unclaimed / double(matrix.teams_.size() + 1);
+    // A team with less demand than its weight allows may still use that share, so that a burst of a
+    // small team is not limited to its average. Adding one smooths the counts of small teams.
     for (const auto &[name, row] : matrix.teams_) {
-        const double part = (row.byEntry_[matrix.self_] + 1) / (row.total_ + entries);
-        table.byTeam_[name] = table.level_ * row.weight_ * part;
+        const double fraction = (row.byEntry_[matrix.self_] + 1) / (row.total_ + entryCount);
+        table.byTeam_[name] = table.slotsPerWeight_ * row.weight_ * fraction;
     }
-    // What nobody asked for yet follows demand too; the one added lets an idle entry VM start.
-    for (std::size_t entry = 0; entry < matrix.entries_; ++entry)
-        entryParts[entry] += spare * (entryDemand[entry] + 1) / (demand + entries);
-    table.slots_ = largestRemainder(capacity, entryParts)[matrix.self_];
+    // Unclaimed capacity is divided by demand too; adding one gives idle entry VMs a share.
+    for (std::size_t entry = 0; entry < matrix.entryCount_; ++entry)
+        entryShares[entry] += unclaimed * (entryDemand[entry] + 1) / (demand + entryCount);
+    table.slots_ = largestRemainder(capacity, entryShares)[matrix.self_];
     if (capacity > 0)
-        table.slots_ = std::max(table.slots_, policy.entryFloor_);
+        table.slots_ = std::max(table.slots_, policy.minimumSlotsPerEntry_);
     return table;
 }
 
--- a/src/limits/share_table.hpp
+++ b/src/limits/share_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief The part of a service's capacity that this entry VM and its teams may use.
+/// \brief The share of a service's capacity that this entry VM and its teams may use.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -15,7 +15,7 @@
 namespace cardamombay::limits::impl {
 
 /// \brief Demand of one team at this entry VM.
-struct OwnDemand
+struct LocalDemand
 {
     TeamName team_;
     double demand_ = 0;
@@ -25,34 +25,35 @@
 struct ShareTable
 {
     std::uint32_t capacity_ = 0; ///< Over all entry VMs.
-    std::uint32_t slots_ = 0;    ///< This entry VM's part.
-    double level_ = 0;           ///< Slots a team of weight 1 may have, over all entry VMs.
-    std::size_t entries_ = 1;
-    std::unordered_map<TeamName, double> byTeam_; ///< What each team may have here.
+    std::uint32_t slots_ = 0;    ///< Slots of this entry VM.
+    double slotsPerWeight_ = 0;  ///< Slots of a team of weight 1, over all entry VMs.
+    std::size_t entryCount_ = 1;
+    std::unordered_map<TeamName, double> byTeam_; ///< Share of each team at this entry VM.
 
-    /// \brief What \p team may have here; an equal part if no digest has shown it yet.
-    [[nodiscard]] double of(const TeamName &team) const;
+    /// \brief Share of \p team at this entry VM; an equal part if its demand is not known yet.
+    [[nodiscard]] double shareOf(const TeamName &team) const;
 
-    /// \brief Scales what may be used here by \p part, at most 1.
-    void reduce(double part);
+    /// \brief Multiplies the slots and shares of this entry VM by \p factor, at most 1.
+    void scale(double factor);
 };
 
-/// \brief Slots of \p service that are declared and serve at \p now.
+/// \brief Slots of \p service that serve at \p now, at most the declared ones of each zone.
 [[nodiscard]] std::uint32_t servingCapacity(const routing::RoutingSnapshot &snapshot,
                                             const config::Service &service, TimePoint now);
 
-/// \brief Part of its slots that an entry VM may use, by what the groups report: below one if they
-/// hold clearly more requests than they take at once.
-/// \details Entry VMs that cannot hear each other divide the whole capacity on each side. They all
-/// probe the groups, so the reports still tell them.
-[[nodiscard]] double allowanceByReports(const routing::RoutingSnapshot &snapshot,
-                                        const ServiceName &service, TimePoint now);
+/// \brief Fraction of its slots that an entry VM may use according to the load reports of the
+/// groups: below 1 if they hold clearly more requests than their capacity.
+/// \details Entry VMs on different sides of a network partition each divide the whole capacity.
+/// They all probe the groups, so the reports still show the overload.
+[[nodiscard]] double reportedLoadAllowance(const routing::RoutingSnapshot &snapshot,
+                                           const ServiceName &service, TimePoint now);
 
 /// \brief Divides \p capacity between teams, then each team's share between entry VMs.
-/// \details Each entry VM computes the whole division from the same figures and reads its own part,
-/// so the parts sum to the capacity without a message beyond the digests.
+/// \details Every entry VM computes the whole division from the same inputs and uses its own
+/// result, so the slots sum to the capacity without messages other than the digests.
 [[nodiscard]] ShareTable divideCapacity(const routing::RoutingSnapshot &snapshot,
                                         const ServiceName &service, std::uint32_t capacity,
-                                        std::span<const OwnDemand> own, const LimitsPolicy &policy);
+                                        std::span<const LocalDemand> localDemands,
+                                        const LimitsPolicy &policy);
 
 } // namespace cardamombay::limits::impl
--- a/tests/limits/admission.cpp
+++ b/tests/limits/admission.cpp
@@ -1,4 +1,4 @@
-#include "limits/site.hpp"
+#include "limits/admission_harness.hpp"
 
 #include <cardamombay/limits/admission.hpp>
 
@@ -9,20 +9,20 @@
 
 using namespace cardamombay;
 using namespace cardamombay::limits;
-using fixture::LimitsSite;
+using fixture::AdmissionHarness;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 Test(admission, requests_beyond_capacity_wait_and_go_when_a_slot_is_free)
 {
-    LimitsSite site(1, 2);
+    AdmissionHarness harness(1, 2);
     Admission admission;
-    cr_assert(std::holds_alternative<Admitted>(site.offer(admission, "r1")));
-    cr_assert(std::holds_alternative<Admitted>(site.offer(admission, "r2")));
-    cr_assert(std::holds_alternative<Queued>(site.offer(admission, "r3")));
+    cr_assert(std::holds_alternative<Admitted>(harness.offer(admission, "r1")));
+    cr_assert(std::holds_alternative<Admitted>(harness.offer(admission, "r2")));
+    cr_assert(std::holds_alternative<Queued>(harness.offer(admission, "r3")));
 
-    admission.finished(RequestId("r1"), site.now_);
-    const auto released = admission.release(site.snapshot_, site.now_);
+    admission.finished(RequestId("r1"), harness.now_);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert_eq(released.size(), 1);
     cr_assert_eq(released[0].request_, RequestId("r3"));
@@ -31,13 +31,13 @@
 
 Test(admission, waiting_request_is_refused_at_the_queue_timeout)
 {
-    LimitsSite site(1, 1);
+    AdmissionHarness harness(1, 1);
     Admission admission;
-    (void)site.offer(admission, "r1");
-    (void)site.offer(admission, "r2");
+    (void)harness.offer(admission, "r1");
+    (void)harness.offer(admission, "r2");
 
-    site.now_ += seconds(2);
-    const auto released = admission.release(site.snapshot_, site.now_);
+    harness.now_ += seconds(2);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert_eq(released.size(), 1);
     cr_assert(std::get<Shed>(released[0].answer_).reason_ == ShedReason::QueueTimeout);
@@ -46,44 +46,44 @@
 
 Test(admission, request_that_would_wait_too_long_is_refused_at_once)
 {
-    LimitsSite site(1, 1);
+    AdmissionHarness harness(1, 1);
     Admission admission;
-    (void)site.offer(admission, "r1");
-    site.now_ += seconds(10);
-    admission.finished(RequestId("r1"), site.now_);
-    (void)site.offer(admission, "r2");
+    (void)harness.offer(admission, "r1");
+    harness.now_ += seconds(10);
+    admission.finished(RequestId("r1"), harness.now_);
+    (void)harness.offer(admission, "r2");
 
-    const auto decision = site.offer(admission, "r3");
+    const auto decision = harness.offer(admission, "r3");
 
     cr_assert(std::get<Shed>(decision).reason_ == ShedReason::TooLate);
 }
 
 Test(admission, higher_priority_goes_first_within_a_team)
 {
-    LimitsSite site(1, 1);
+    AdmissionHarness harness(1, 1);
     Admission admission;
-    (void)site.offer(admission, "r1");
-    (void)site.offer(admission, "low", "a", 1);
-    (void)site.offer(admission, "high", "a", 200);
+    (void)harness.offer(admission, "r1");
+    (void)harness.offer(admission, "low", "a", 1);
+    (void)harness.offer(admission, "high", "a", 200);
 
-    admission.finished(RequestId("r1"), site.now_);
-    const auto released = admission.release(site.snapshot_, site.now_);
+    admission.finished(RequestId("r1"), harness.now_);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert_eq(released[0].request_, RequestId("high"));
 }
 
-Test(admission, full_queue_takes_a_higher_priority_in_place_of_the_lowest)
+Test(admission, full_queue_displaces_the_lowest_priority)
 {
-    LimitsSite site(1, 1);
+    AdmissionHarness harness(1, 1);
     LimitsPolicy policy;
     policy.queueLimit_ = 1;
     Admission admission(policy);
-    (void)site.offer(admission, "r1");
-    (void)site.offer(admission, "low", "a", 1);
+    (void)harness.offer(admission, "r1");
+    (void)harness.offer(admission, "low", "a", 1);
 
-    const auto same = site.offer(admission, "same", "a", 1);
-    const auto high = site.offer(admission, "high", "a", 2);
-    const auto released = admission.release(site.snapshot_, site.now_);
+    const auto same = harness.offer(admission, "same", "a", 1);
+    const auto high = harness.offer(admission, "high", "a", 2);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert(std::get<Shed>(same).reason_ == ShedReason::QueueFull);
     cr_assert(std::holds_alternative<Queued>(high));
@@ -92,18 +92,18 @@
     cr_assert(std::get<Shed>(released[0].answer_).reason_ == ShedReason::Displaced);
 }
 
-Test(admission, blink_of_capacity_is_waited_for_and_an_outage_is_told_at_once)
+Test(admission, brief_capacity_loss_is_waited_out_and_an_outage_is_refused_at_once)
 {
-    LimitsSite site(1, 4);
+    AdmissionHarness harness(1, 4);
     Admission admission;
-    (void)site.offer(admission, "r1");
-    site.group(0).isVetoed_ = true;
-    site.publish();
+    (void)harness.offer(admission, "r1");
+    harness.group(0).isVetoed_ = true;
+    harness.publish();
 
-    const auto early = site.offer(admission, "early");
-    site.now_ += milliseconds(500);
-    const auto released = admission.release(site.snapshot_, site.now_);
-    const auto late = site.offer(admission, "late");
+    const auto early = harness.offer(admission, "early");
+    harness.now_ += milliseconds(500);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
+    const auto late = harness.offer(admission, "late");
 
     cr_assert(std::holds_alternative<Queued>(early));
     cr_assert_eq(released.size(), 1);
@@ -111,19 +111,19 @@
     cr_assert(std::get<Shed>(late).reason_ == ShedReason::NoCapacity);
 }
 
-Test(admission, waiting_requests_that_lost_their_slots_are_told_before_their_timeout)
+Test(admission, queued_requests_are_refused_early_when_capacity_drops)
 {
-    LimitsSite site(4, 4);
+    AdmissionHarness harness(4, 4);
     Admission admission;
-    site.learnServiceTime(admission, seconds(1));
+    harness.learnServiceTime(admission, seconds(1));
     for (int i = 0; i < 16 + 16; ++i)
-        (void)site.offer(admission, "r" + std::to_string(i));
+        (void)harness.offer(admission, "r" + std::to_string(i));
     cr_assert_eq(admission.load(ServiceName("lm")).waiting_, 16);
 
     for (std::size_t i = 1; i < 4; ++i)
-        site.group(i).isVetoed_ = true;
-    site.publish();
-    const auto released = admission.release(site.snapshot_, site.now_);
+        harness.group(i).isVetoed_ = true;
+    harness.publish();
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert_gt(released.size(), 0);
     for (const auto &answer : released)
@@ -132,59 +132,60 @@
 
 Test(admission, non_idempotent_request_needs_time_to_finish)
 {
-    LimitsSite site(1, 4);
+    AdmissionHarness harness(1, 4);
     Admission admission;
-    site.learnServiceTime(admission, seconds(4));
+    harness.learnServiceTime(admission, seconds(4));
     AdmissionRequest request{.request_ = RequestId("r"),
                              .service_ = ServiceName("lm"),
                              .team_ = TeamName("a"),
-                             .deadline_ = site.now_ + seconds(3)};
+                             .deadline_ = harness.now_ + seconds(3)};
 
     request.isNonIdempotent_ = true;
-    const auto booking = admission.offer(request, site.snapshot_, site.now_);
+    const auto nonIdempotent = admission.offer(request, harness.snapshot_, harness.now_);
     request.isNonIdempotent_ = false;
-    const auto script = admission.offer(request, site.snapshot_, site.now_);
+    const auto idempotent = admission.offer(request, harness.snapshot_, harness.now_);
 
-    cr_assert(std::get<Shed>(booking).reason_ == ShedReason::TooLate);
-    cr_assert(std::holds_alternative<Admitted>(script));
+    cr_assert(std::get<Shed>(nonIdempotent).reason_ == ShedReason::TooLate);
+    cr_assert(std::holds_alternative<Admitted>(idempotent));
 }
 
-Test(admission, caller_that_leaves_the_queue_is_not_released)
+Test(admission, cancelled_request_leaves_the_queue)
 {
-    LimitsSite site(1, 1);
+    AdmissionHarness harness(1, 1);
     Admission admission;
-    (void)site.offer(admission, "r1");
-    (void)site.offer(admission, "gone");
-    (void)site.offer(admission, "next");
+    (void)harness.offer(admission, "r1");
+    (void)harness.offer(admission, "gone");
+    (void)harness.offer(admission, "next");
 
-    admission.finished(RequestId("gone"), site.now_);
-    admission.finished(RequestId("r1"), site.now_);
-    const auto released = admission.release(site.snapshot_, site.now_);
+    admission.finished(RequestId("gone"), harness.now_);
+    admission.finished(RequestId("r1"), harness.now_);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert_eq(released.size(), 1);
     cr_assert_eq(released[0].request_, RequestId("next"));
 }
 
-Test(admission, wakes_for_the_first_timeout_and_sleeps_with_an_empty_queue)
+Test(admission, next_wake_is_the_first_timeout_or_never_with_an_empty_queue)
 {
-    LimitsSite site(1, 1);
+    AdmissionHarness harness(1, 1);
     Admission admission;
-    (void)site.offer(admission, "r1");
+    (void)harness.offer(admission, "r1");
     cr_assert(admission.nextWake() == TimePoint::max());
 
-    (void)site.offer(admission, "r2");
+    (void)harness.offer(admission, "r2");
 
-    cr_assert(admission.nextWake() <= site.now_ + seconds(2));
+    cr_assert(admission.nextWake() <= harness.now_ + seconds(2));
 }
 
-Test(admission, refusal_is_explained_by_the_slots_at_that_time)
+Test(admission, refusal_record_holds_the_slot_counts)
 {
-    LimitsSite site(1, 4);
+    AdmissionHarness harness(1, 4);
     Admission admission;
-    (void)site.offer(admission, "r1");
+    (void)harness.offer(admission, "r1");
     const AdmissionRequest request{.request_ = RequestId("r2"), .service_ = ServiceName("lm")};
 
-    const auto record = admission.record(request, Shed{ShedReason::TooLate, seconds(3)}, site.now_);
+    const auto record
+        = admission.record(request, Shed{ShedReason::TooLate, seconds(3)}, harness.now_);
 
     cr_assert_eq(record.choice_, "too-late");
     const auto &inputs = record.inputs_;
--- a/tests/limits/site.hpp
+++ b/tests/limits/admission_harness.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief A snapshot with one service and a capacity, for tests of admission.
+/// \brief A snapshot with one service of a given capacity, for admission tests.
 #pragma once
 
 #include <cardamombay/limits/admission.hpp>
@@ -9,10 +9,10 @@
 
 namespace fixture {
 
-/// \brief One entry VM's view of a service named "lm".
-struct LimitsSite
+/// \brief Snapshot and clock of one entry VM, with a service named "lm".
+struct AdmissionHarness
 {
-    LimitsSite(std::size_t groups, std::uint32_t slotsPerGroup)
+    AdmissionHarness(std::size_t groups, std::uint32_t slotsPerGroup)
     {
         using namespace cardamombay;
         auto configuration = std::make_shared<config::Configuration>();
@@ -54,7 +54,7 @@
 
     void publish() { ++snapshot_.sequence_; }
 
-    /// \brief Lets one request take \p time, so that waits can be estimated.
+    /// \brief Runs one request for \p time, so that waiting times can be estimated.
     void learnServiceTime(cardamombay::limits::Admission &admission, cardamombay::Duration time)
     {
         (void)offer(admission, "first");
--- a/tests/limits/sharing.cpp
+++ b/tests/limits/sharing.cpp
@@ -1,4 +1,4 @@
-#include "limits/site.hpp"
+#include "limits/admission_harness.hpp"
 
 #include <cardamombay/limits/fair_share.hpp>
 
@@ -10,7 +10,7 @@
 
 using namespace cardamombay;
 using namespace cardamombay::limits;
-using fixture::LimitsSite;
+using fixture::AdmissionHarness;
 using routing::DemandReport;
 using std::chrono::seconds;
 
@@ -18,36 +18,36 @@
 
 const ServiceName lm("lm");
 
-/// \brief Slots of an entry VM that has told its own demand and heard that of its peers.
+/// \brief Slots of an entry VM that has exchanged digests with its peers.
 std::uint32_t shareOf(std::size_t self, const std::vector<std::uint32_t> &demands,
                       std::uint32_t slots)
 {
-    LimitsSite site(1, slots);
-    site.snapshot_.self_ = EntryId("entry-" + std::to_string(self));
+    AdmissionHarness harness(1, slots);
+    harness.snapshot_.self_ = EntryId("entry-" + std::to_string(self));
     for (std::size_t i = 0; i < demands.size(); ++i) {
         if (i != self)
-            site.snapshot_.peerDemand_.push_back(
+            harness.snapshot_.peerDemand_.push_back(
                 {EntryId("entry-" + std::to_string(i)),
                  {DemandReport{lm, TeamName("a"), demands[i], 0}}});
     }
     Admission admission;
-    // Alone it may run all of its demand; the digests come after.
-    auto alone = site.snapshot_;
-    alone.peerDemand_.clear();
+    // Without peers it may admit all of its demand; the digests arrive afterwards.
+    auto withoutPeers = harness.snapshot_;
+    withoutPeers.peerDemand_.clear();
     for (std::uint32_t i = 0; i < demands[self]; ++i)
         (void)admission.offer(
             {.request_ = RequestId(std::to_string(i)), .service_ = lm, .team_ = TeamName("a")},
-            alone, site.now_);
-    (void)admission.demand(site.now_);
-    (void)admission.demand(site.now_);
-    site.publish();
-    (void)site.offer(admission, "probe");
+            withoutPeers, harness.now_);
+    (void)admission.demand(harness.now_);
+    (void)admission.demand(harness.now_);
+    harness.publish();
+    (void)harness.offer(admission, "probe");
     return admission.load(lm).share_;
 }
 
 } // namespace
 
-Test(fair_share, what_small_teams_leave_is_divided_by_weight)
+Test(fair_share, unused_share_of_small_teams_is_divided_by_weight)
 {
     const std::vector<WeightedDemand> demands{{1, 10}, {1, 100}, {3, 100}};
 
@@ -77,7 +77,7 @@
     cr_assert_eq(sum, 100);
 }
 
-Test(sharing, lost_entry_vm_leaves_its_part_to_the_others)
+Test(sharing, share_of_a_lost_entry_vm_goes_to_the_others)
 {
     const auto before = shareOf(0, {40, 40, 40}, 60);
     const auto after = shareOf(0, {40, 40}, 60);
@@ -88,74 +88,74 @@
 
 Test(sharing, small_team_is_served_before_a_large_one_that_waits)
 {
-    LimitsSite site(1, 4);
+    AdmissionHarness harness(1, 4);
     Admission admission;
     for (int i = 0; i < 10; ++i)
-        (void)site.offer(admission, "large-" + std::to_string(i), "large");
-    site.now_ += seconds(1);
-    (void)site.offer(admission, "small", "small");
+        (void)harness.offer(admission, "large-" + std::to_string(i), "large");
+    harness.now_ += seconds(1);
+    (void)harness.offer(admission, "small", "small");
 
-    admission.finished(RequestId("large-0"), site.now_);
-    const auto released = admission.release(site.snapshot_, site.now_);
+    admission.finished(RequestId("large-0"), harness.now_);
+    const auto released = admission.release(harness.snapshot_, harness.now_);
 
     cr_assert_eq(released[0].request_, RequestId("small"));
 }
 
-Test(sharing, idle_teams_leave_the_whole_capacity_to_the_one_that_asks)
+Test(sharing, single_active_team_gets_the_whole_capacity)
 {
-    LimitsSite site(1, 16);
+    AdmissionHarness harness(1, 16);
     Admission admission;
     int admitted = 0;
     for (int i = 0; i < 20; ++i)
         admitted += std::holds_alternative<Admitted>(
-            site.offer(admission, "r" + std::to_string(i), "only"));
+            harness.offer(admission, "r" + std::to_string(i), "only"));
 
     cr_assert_eq(admitted, 16);
 }
 
-Test(sharing, refused_demand_is_told_to_the_peers)
+Test(sharing, refused_requests_count_in_the_reported_demand)
 {
-    LimitsSite site(1, 2);
+    AdmissionHarness harness(1, 2);
     Admission admission;
-    site.learnServiceTime(admission, seconds(10));
+    harness.learnServiceTime(admission, seconds(10));
     for (int i = 0; i < 50; ++i)
-        (void)site.offer(admission, "r" + std::to_string(i));
+        (void)harness.offer(admission, "r" + std::to_string(i));
 
-    const auto reports = admission.demand(site.now_);
+    const auto reports = admission.demand(harness.now_);
 
     cr_assert_eq(reports.size(), 1);
     cr_assert_gt(reports[0].inFlight_ + reports[0].waiting_, 10U);
 }
 
-Test(sharing, groups_that_report_far_too_many_requests_are_spared)
+Test(sharing, overloaded_groups_reduce_the_share)
 {
-    // The peers are not heard, so the whole capacity seems to be this entry VM's own.
-    LimitsSite site(1, 16);
+    // No digests arrive from peers, so this entry VM claims the whole capacity.
+    AdmissionHarness harness(1, 16);
     Admission admission;
-    (void)site.offer(admission, "first");
-    site.group(0).load_.running_ = 32;
+    (void)harness.offer(admission, "first");
+    harness.group(0).load_.running_ = 32;
 
     for (int second = 0; second < 10; ++second) {
-        site.now_ += seconds(1);
-        site.publish();
-        (void)admission.release(site.snapshot_, site.now_);
-        (void)site.offer(admission, "r" + std::to_string(second));
+        harness.now_ += seconds(1);
+        harness.publish();
+        (void)admission.release(harness.snapshot_, harness.now_);
+        (void)harness.offer(admission, "r" + std::to_string(second));
     }
 
     cr_assert_leq(admission.load(lm).share_, 6U);
     cr_assert_geq(admission.load(lm).share_, 1U);
 }
 
-Test(sharing, overshoot_that_lagging_digests_explain_changes_nothing)
+Test(sharing, overshoot_within_the_tolerance_keeps_the_share)
 {
-    LimitsSite site(1, 100);
+    AdmissionHarness harness(1, 100);
     Admission admission;
-    site.group(0).load_.running_ = 108;
+    harness.group(0).load_.running_ = 108;
 
     for (int second = 0; second < 10; ++second) {
-        site.now_ += seconds(1);
-        site.publish();
-        (void)site.offer(admission, "r" + std::to_string(second));
+        harness.now_ += seconds(1);
+        harness.publish();
+        (void)harness.offer(admission, "r" + std::to_string(second));
     }
 
     cr_assert_eq(admission.load(lm).share_, 100);
