--- a/include/cardamombay/retries/backoff.hpp
+++ b/include/cardamombay/retries/backoff.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Jittered exponential back-off.
-/// \details Decides how long the next attempt waits, with jitter from a seeded Random so that entry
-/// VMs do not retry in step. It starts nothing.
+/// \brief Jittered exponential backoff.
+/// \details Computes the delay before the next attempt. The jitter comes from a seeded Random, so
+/// that entry VMs do not retry at the same time.
 #pragma once
 
 #include <cardamombay/core/random.hpp>
@@ -11,14 +11,14 @@
 
 namespace cardamombay::retries {
 
-/// \brief Settings of a back-off.
+/// \brief Settings of a backoff.
 struct BackoffPolicy
 {
     Duration base_ = std::chrono::milliseconds(25);
     Duration maximum_ = std::chrono::seconds(2);
 };
 
-/// \brief Delays that double, drawn from the upper half of each step so that retries spread.
+/// \brief Exponential delays, each drawn uniformly from the upper half of its step.
 class Backoff
 {
 public:
--- a/include/cardamombay/retries/circuit_breaker_registry.hpp
+++ b/include/cardamombay/retries/circuit_breaker_registry.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief The circuits of all groups.
-/// \details Decides which groups new attempts leave out. It never ends an attempt, and it is local
-/// to one entry VM.
+/// \brief The circuit breakers of all groups.
+/// \details Tells which groups new attempts must skip. It does not cancel running attempts, and its
+/// state is local to one entry VM.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -15,11 +15,11 @@
 
 namespace cardamombay::retries {
 
-/// \brief Circuits by group; a group without failures has no entry. Single-threaded.
+/// \brief Circuit breakers by group; a group without recent failures has none. Not thread-safe.
 /// \code
-/// request.excluded_ = board.blocked(clock.now());
+/// request.excluded_ = breakers.blocked(clock.now());
 /// const auto decision = router.choose(*snapshot, request, clock.now());
-/// board.started(decision.group_->group_, clock.now());
+/// breakers.started(decision.group_->group_, clock.now());
 /// \endcode
 class CircuitBreakerRegistry
 {
@@ -27,13 +27,13 @@
     explicit CircuitBreakerRegistry(CircuitBreakerProgramPtr program,
                                     CircuitBreakerPolicy policy = {}, std::uint64_t seed = 0);
 
-    /// \brief Groups that must not be tried at \p now, for RouteRequest::excluded_.
-    /// \returns a view that holds until the next call.
+    /// \brief Groups that must not be attempted at \p now, for RouteRequest::excluded_.
+    /// \returns a view that is valid until the next call.
     [[nodiscard]] std::span<const GroupId> blocked(TimePoint now);
 
     /// \name Events
-    /// Each started() is followed by one of the others; succeeded() may come more than once, and
-    /// is best called when the head of an answer arrives.
+    /// Each started() must be followed by one of the others. succeeded() may be called more than
+    /// once; call it when the response headers arrive.
     /// \{
     void started(const GroupId &group, TimePoint now);
     void succeeded(const GroupId &group, TimePoint now);
@@ -41,10 +41,10 @@
     void abandoned(const GroupId &group, TimePoint now);
     /// \}
 
-    /// \brief State of the circuit of \p group at \p now, such as "closed".
+    /// \brief Name of the state of the circuit of \p group at \p now, such as "closed".
     [[nodiscard]] std::string_view status(const GroupId &group, TimePoint now);
 
-    /// \brief When the first open circuit allows a trial; the maximum if none is open.
+    /// \brief When the first open circuit allows a trial; TimePoint::max() if none is open.
     [[nodiscard]] TimePoint nextTrial() const;
 
 private:
--- a/include/cardamombay/retries/retry_budget.hpp
+++ b/include/cardamombay/retries/retry_budget.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Bounds retries to a share of fresh requests.
-/// \details Decides whether a retry may be spent, so that retries cannot multiply an overload. It
-/// knows nothing of safety; RetryPolicy decides on that.
+/// \brief Limits retries to a fraction of the first attempts.
+/// \details The limit keeps retries from amplifying an overload. Whether a retry is safe is decided
+/// by RetryPolicy.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -11,25 +11,25 @@
 /// \brief Settings of a retry budget.
 struct RetryBudgetPolicy
 {
-    double share_ = 0.1;          ///< Retries allowed for each fresh request.
-    double minimumPerSecond_ = 1; ///< Retries allowed at any rate of requests.
-    double maximumBalance_ = 50;  ///< Retries that can be saved up.
+    double retriesPerRequest_ = 0.1; ///< Retries earned by each first attempt.
+    double minimumPerSecond_ = 1;    ///< Retries allowed at any request rate.
+    double maximumBalance_ = 50;     ///< Retries that can accumulate.
 };
 
-/// \brief Balance of retries; single-threaded.
+/// \brief Token bucket of retries, filled by first attempts and by time; not thread-safe.
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetPolicy policy = {});
 
-    /// \brief A fresh request came; it earns a share of a retry.
+    /// \brief Adds the fraction of a retry that one first attempt earns.
     void deposit(TimePoint now);
 
     /// \brief Takes one retry from the balance.
-    /// \returns false if the balance does not allow it.
+    /// \returns false, with the balance unchanged, if less than one retry is left.
     [[nodiscard]] bool withdraw(TimePoint now);
 
-    /// \brief Retries that could be taken.
+    /// \brief Retries available at the last deposit or withdrawal.
     [[nodiscard]] double balance() const { return balance_; }
 
 private:
@@ -38,7 +38,7 @@
     RetryBudgetPolicy policy_;
     double balance_ = 0;
     TimePoint refilledAt_{};
-    bool hasStarted_ = false;
+    bool hasRefilled_ = false;
 };
 
 } // namespace cardamombay::retries
--- a/include/cardamombay/retries/retry_policy.hpp
+++ b/include/cardamombay/retries/retry_policy.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Decides whether a failed attempt is made again.
-/// \details The module never repeats a non-idempotent request once a byte of it may have left, and
-/// bounds what it repeats, so that an outage does not multiply the load of callers.
+/// \brief Decides whether a failed attempt is retried.
+/// \details A non-idempotent request is never retried once a byte of it may have been sent. The
+/// number of retries is limited, so that an outage does not amplify the load.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -23,18 +23,18 @@
     ServiceName service_{};
     outcomes::Outcome outcome_ = outcomes::Outcome::Unknown;
     bool isNonIdempotent_ = false;
-    bool hasAnswerStarted_ = false; ///< Bytes of an answer went to the caller.
-    bool isResumable_ = false;      ///< The started answer can go on from where it stopped.
-    std::uint32_t attempts_ = 1;    ///< Made so far, with this one.
+    bool hasAnswerStarted_ = false; ///< Part of the response was sent to the caller.
+    bool isResumable_ = false;      ///< Another attempt can continue the started response.
+    std::uint32_t attempts_ = 1;    ///< Attempts so far, including this one.
     TimePoint deadline_{TimePoint::max()};
-    Duration retryAfter_{}; ///< As the endpoint asked; zero if it did not.
+    Duration retryAfter_{}; ///< Retry-After sent by the endpoint; zero if it sent none.
 };
 
 /// \brief Why no further attempt is made.
 enum class GiveUpReason {
-    HasRun,        ///< The endpoint gave its answer, whatever it says.
-    MayHaveRun,    ///< Non-idempotent, and a byte may have left.
-    AnswerStarted, ///< The caller has a part of an answer that cannot be resumed.
+    HasRun,        ///< The endpoint ran the request, whatever the result.
+    MayHaveRun,    ///< Non-idempotent, and a byte of it may have been sent.
+    AnswerStarted, ///< The caller has part of a response that cannot be resumed.
     AttemptLimit,
     DeadlineTooClose,
     BudgetSpent
@@ -43,13 +43,13 @@
 /// \brief Short name, for logs and metrics, such as "budget-spent".
 [[nodiscard]] std::string_view nameOf(GiveUpReason reason);
 
-/// \brief Make another attempt after the delay.
+/// \brief Another attempt is to be made after the delay.
 struct Retry
 {
     Duration delay_{};
 };
 
-/// \brief Tell the caller.
+/// \brief The failure is to be returned to the caller.
 struct GiveUp
 {
     GiveUpReason reason_ = GiveUpReason::AttemptLimit;
@@ -61,13 +61,14 @@
 /// \brief Settings of retries.
 struct RetrySettings
 {
-    std::uint32_t attemptLimit_ = 3; ///< Attempts of one request, the first included.
-    Duration minimumLeft_ = std::chrono::milliseconds(100); ///< Before the deadline, for a retry.
+    std::uint32_t attemptLimit_ = 3; ///< Attempts of one request, including the first.
+    /// \brief Time that must be left before the deadline when the retry starts.
+    Duration minimumTimeLeft_ = std::chrono::milliseconds(100);
     BackoffPolicy backoff_;
     RetryBudgetPolicy budget_;
 };
 
-/// \brief Retry decisions of one entry VM, with a budget for each service; single-threaded.
+/// \brief Retry decisions of one entry VM, with a budget for each service; not thread-safe.
 /// \code
 /// const auto decision = policy.decide(attempt, clock.now());
 /// if (const auto *retry = std::get_if<Retry>(&decision))
@@ -78,10 +79,10 @@
 public:
     explicit RetryPolicy(std::uint64_t seed, RetrySettings settings = {});
 
-    /// \brief A fresh request of \p service is about to be attempted.
+    /// \brief The first attempt of a request of \p service is about to start; adds to its budget.
     void freshRequest(const ServiceName &service, TimePoint now);
 
-    /// \brief Decides what follows \p attempt; a Retry is taken from the budget.
+    /// \brief Decides whether \p attempt is retried; a Retry is withdrawn from the budget.
     [[nodiscard]] RetryDecision decide(const FailedAttempt &attempt, TimePoint now);
 
 private:
--- a/src/retries/circuit_breaker.cpp
+++ b/src/retries/circuit_breaker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// States that code asks about.
+/// Chart states that the code refers to.
 constexpr std::string_view closedState = "closed";
 constexpr std::string_view openState = "open";
 constexpr std::string_view trialState = "trial";
@@ -22,11 +22,12 @@
     binding.state(closedState).state(openState).state(trialState);
     binding.events({"started", "succeeded", "failed", "abandoned", "wait-over", "trial-over"});
     binding.guard("limit-reached", [](const CircuitBreaker &circuit) {
-        return circuit.failuresInRow_ + 1 >= circuit.policy_.failures_;
+        return circuit.consecutiveFailures_ + 1 >= circuit.policy_.failureThreshold_;
     });
-    binding.action("count-failure", [](CircuitBreaker &circuit) { ++circuit.failuresInRow_; });
-    binding.action("forget-failures", [](CircuitBreaker &circuit) { circuit.forgetFailures(); });
-    binding.action("start-wait", [](CircuitBreaker &circuit) { circuit.startWait(); });
+    binding.action("count-failure",
+                   [](CircuitBreaker &circuit) { ++circuit.consecutiveFailures_; });
+    binding.action("forget-failures", [](CircuitBreaker &circuit) { circuit.resetFailures(); });
+    binding.action("start-wait", [](CircuitBreaker &circuit) { circuit.startOpenPeriod(); });
     binding.action("start-trial", [](CircuitBreaker &circuit) { circuit.startTrial(); });
     return chart::bind(chart, std::move(binding));
 }
@@ -41,19 +42,19 @@
 
 bool CircuitBreaker::allows(TimePoint now)
 {
-    passTime(now);
+    advanceTime(now);
     return !machine_.isIn(openState) && !machine_.isIn(trialState);
 }
 
 std::string_view CircuitBreaker::status(TimePoint now)
 {
-    passTime(now);
+    advanceTime(now);
     return machine_.state();
 }
 
 bool CircuitBreaker::isHealthy() const
 {
-    return machine_.isIn(closedState) && failuresInRow_ == 0;
+    return machine_.isIn(closedState) && consecutiveFailures_ == 0;
 }
 
 TimePoint CircuitBreaker::nextTrial() const
@@ -63,12 +64,12 @@
 
 void CircuitBreaker::handle(std::string_view event, TimePoint now)
 {
-    passTime(now);
-    now_ = now;
+    advanceTime(now);
+    eventTime_ = now;
     machine_.handle(*this, event);
 }
 
-void CircuitBreaker::passTime(TimePoint now)
+void CircuitBreaker::advanceTime(TimePoint now)
 {
     if (now >= nextTrial())
         machine_.handle(*this, "wait-over");
@@ -76,29 +77,29 @@
         machine_.handle(*this, "trial-over");
 }
 
-/// A number in [0, 1) for this wait; a hash, as a generator for each circuit would be large.
+/// A number in [0, 1) for this open period. A hash takes less memory than a generator per circuit.
 double CircuitBreaker::jitter() const
 {
-    const std::uint64_t bits = stableHash(std::to_string(waits_), seed_);
+    const std::uint64_t bits = stableHash(std::to_string(openPeriodCount_), seed_);
     return double(bits >> 11) * 0x1p-53;
 }
 
-void CircuitBreaker::startWait()
+void CircuitBreaker::startOpenPeriod()
 {
-    Duration wait = policy_.openTime_;
-    for (std::uint32_t i = 0; i < openings_ && wait < policy_.maximumOpenTime_; ++i)
-        wait *= 2;
-    wait = std::min(wait, policy_.maximumOpenTime_);
-    ++waits_;
-    const double length = (0.5 + 0.5 * jitter()) * double(wait.count());
-    openUntil_ = now_ + Duration(static_cast<Duration::rep>(length));
-    ++openings_;
+    Duration openTime = policy_.openTime_;
+    for (std::uint32_t i = 0; i < consecutiveOpenings_ && openTime < policy_.maximumOpenTime_; ++i)
+        openTime *= 2;
+    openTime = std::min(openTime, policy_.maximumOpenTime_);
+    ++openPeriodCount_;
+    const double jitteredTime = (0.5 + 0.5 * jitter()) * double(openTime.count());
+    openUntil_ = eventTime_ + Duration(static_cast<Duration::rep>(jitteredTime));
+    ++consecutiveOpenings_;
 }
 
-void CircuitBreaker::forgetFailures()
+void CircuitBreaker::resetFailures()
 {
-    failuresInRow_ = 0;
-    openings_ = 0;
+    consecutiveFailures_ = 0;
+    consecutiveOpenings_ = 0;
 }
 
 } // namespace cardamombay::retries
--- a/src/retries/circuit_breaker_registry.cpp
+++ b/src/retries/circuit_breaker_registry.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A group that is gone gets no more events; its circuit is dropped after this time.
-constexpr Duration forgetAfter = std::chrono::minutes(10);
+/// Circuits without events for longer are dropped; a removed group gets no more events.
+constexpr Duration idleCircuitLifetime = std::chrono::minutes(10);
 
 } // namespace
 
@@ -24,7 +24,7 @@
 std::span<const GroupId> CircuitBreakerRegistry::blocked(TimePoint now)
 {
     std::erase_if(circuits_, [now](const auto &entry) {
-        return now - entry.second.changedAt() > forgetAfter;
+        return now - entry.second.lastEventAt() > idleCircuitLifetime;
     });
     blocked_.clear();
     for (auto &[group, circuit] : circuits_) {
--- a/src/retries/retry_budget.cpp
+++ b/src/retries/retry_budget.cpp
@@ -13,7 +13,7 @@
 void RetryBudget::deposit(TimePoint now)
 {
     refill(now);
-    balance_ = std::min(balance_ + policy_.share_, policy_.maximumBalance_);
+    balance_ = std::min(balance_ + policy_.retriesPerRequest_, policy_.maximumBalance_);
 }
 
 bool RetryBudget::withdraw(TimePoint now)
@@ -27,14 +27,14 @@
 
 void RetryBudget::refill(TimePoint now)
 {
-    if (hasStarted_ && now > refilledAt_) {
-        // The floor never saves up more than one second's worth, or quiet hours would pay for a
-        // burst of retries at the start of an outage.
-        const std::chrono::duration<double> passed = now - refilledAt_;
+    if (hasRefilled_ && now > refilledAt_) {
+        // The minimum rate accumulates at most one second's worth of retries. Otherwise an idle
+        // period would allow a burst of retries at the start of an outage.
+        const std::chrono::duration<double> elapsed = now - refilledAt_;
         const double room = std::max(policy_.minimumPerSecond_ - balance_, 0.0);
-        balance_ += std::min(passed.count() * policy_.minimumPerSecond_, room);
+        balance_ += std::min(elapsed.count() * policy_.minimumPerSecond_, room);
     }
-    hasStarted_ = true;
+    hasRefilled_ = true;
     refilledAt_ = std::max(refilledAt_, now);
 }
 
--- a/src/retries/retry_policy.cpp
+++ b/src/retries/retry_policy.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration busyRetryAfter = std::chrono::seconds(5);
+constexpr Duration minimumRetryAfter = std::chrono::seconds(5);
 
 } // namespace
 
@@ -42,7 +42,7 @@
 
 RetryDecision RetryPolicy::decide(const FailedAttempt &attempt, TimePoint now)
 {
-    const Duration retryAfter = std::max(attempt.retryAfter_, busyRetryAfter);
+    const Duration retryAfter = std::max(attempt.retryAfter_, minimumRetryAfter);
     if (attempt.outcome_ == outcomes::Outcome::Ran)
         return GiveUp{GiveUpReason::HasRun, retryAfter};
     if (attempt.isNonIdempotent_ && attempt.outcome_ != outcomes::Outcome::NotRun)
@@ -54,7 +54,7 @@
 
     const Duration delay = std::max(backoff_.delay(attempt.attempts_), attempt.retryAfter_);
     const bool isTooLate = attempt.deadline_ != TimePoint::max()
-                           && now + delay + settings_.minimumLeft_ > attempt.deadline_;
+                           && now + delay + settings_.minimumTimeLeft_ > attempt.deadline_;
     if (isTooLate)
         return GiveUp{GiveUpReason::DeadlineTooClose, retryAfter};
     if (!budget(attempt.service_).withdraw(now))
--- a/tests/retries/circuit_breaker.cpp
+++ b/tests/retries/circuit_breaker.cpp
@@ -26,22 +26,22 @@
 
 Test(circuit, opens_after_failures_in_a_row_and_closes_after_a_trial)
 {
-    CircuitBreakerRegistry board(program());
+    CircuitBreakerRegistry registry(program());
     const GroupId group("lm/a/0");
     for (int i = 0; i < 2; ++i)
-        board.failed(group, start);
-    cr_assert(board.blocked(start).empty());
-    board.failed(group, start);
-    cr_assert_eq(board.blocked(start).size(), 1);
+        registry.failed(group, start);
+    cr_assert(registry.blocked(start).empty());
+    registry.failed(group, start);
+    cr_assert_eq(registry.blocked(start).size(), 1);
 
     const TimePoint later = start + seconds(1);
-    cr_assert(board.blocked(later).empty());
-    board.started(group, later);
-    cr_assert_eq(board.blocked(later).size(), 1, "only one trial at a time");
-    board.succeeded(group, later);
+    cr_assert(registry.blocked(later).empty());
+    registry.started(group, later);
+    cr_assert_eq(registry.blocked(later).size(), 1, "a second trial started beside the first");
+    registry.succeeded(group, later);
 
-    cr_assert(board.status(group, later) == "closed");
-    cr_assert(board.blocked(later).empty());
+    cr_assert(registry.status(group, later) == "closed");
+    cr_assert(registry.blocked(later).empty());
 }
 
 Test(circuit, failed_trial_doubles_the_open_time)
@@ -61,20 +61,20 @@
     }
 }
 
-Test(circuit, groups_that_fail_together_are_not_tried_again_together)
+Test(circuit, trials_of_groups_that_failed_together_are_jittered)
 {
-    CircuitBreakerRegistry board(program());
+    CircuitBreakerRegistry registry(program());
     for (int i = 0; i < 3; ++i) {
-        board.failed(GroupId("lm/a/0"), start);
-        board.failed(GroupId("lm/a/1"), start);
+        registry.failed(GroupId("lm/a/0"), start);
+        registry.failed(GroupId("lm/a/1"), start);
     }
 
-    const TimePoint first = board.nextTrial();
+    const TimePoint first = registry.nextTrial();
 
-    cr_assert_eq(board.blocked(first).size(), 1);
+    cr_assert_eq(registry.blocked(first).size(), 1);
 }
 
-Test(circuit, abandoned_trial_lets_the_next_one_go)
+Test(circuit, abandoned_trial_allows_the_next_one)
 {
     CircuitBreaker circuit(program());
     for (int i = 0; i < 3; ++i)
@@ -100,7 +100,7 @@
     cr_assert(circuit.allows(start));
 }
 
-Test(circuit, trial_that_streams_for_long_does_not_keep_the_group_out)
+Test(circuit, long_streaming_trial_does_not_block_the_next_trial)
 {
     CircuitBreaker circuit(program());
     for (int i = 0; i < 3; ++i)
--- a/tests/retries/retry_policy.cpp
+++ b/tests/retries/retry_policy.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-Test(retry_policy, non_idempotent_request_is_never_repeated_once_a_byte_may_have_left)
+Test(retry_policy, non_idempotent_request_is_not_retried_once_a_byte_may_have_been_sent)
 {
     RetryPolicy policy(1);
     auto attempt = attemptOf(Outcome::Unknown);
@@ -29,7 +29,7 @@
     cr_assert(std::get<GiveUp>(decision).reason_ == GiveUpReason::MayHaveRun);
 }
 
-Test(retry_policy, non_idempotent_request_is_repeated_if_no_byte_left)
+Test(retry_policy, non_idempotent_request_is_retried_if_no_byte_was_sent)
 {
     RetryPolicy policy(1);
     auto attempt = attemptOf(Outcome::NotRun);
@@ -38,18 +38,18 @@
     cr_assert(std::holds_alternative<Retry>(policy.decide(attempt, start)));
 }
 
-Test(retry_policy, started_answer_goes_on_only_if_it_can_be_resumed)
+Test(retry_policy, started_answer_is_retried_only_if_resumable)
 {
     RetryPolicy policy(1);
     auto attempt = attemptOf(Outcome::Unknown);
     attempt.hasAnswerStarted_ = true;
 
-    const auto whole = policy.decide(attempt, start);
+    const auto unresumable = policy.decide(attempt, start);
     attempt.isResumable_ = true;
-    const auto resumed = policy.decide(attempt, start);
+    const auto resumable = policy.decide(attempt, start);
 
-    cr_assert(std::get<GiveUp>(whole).reason_ == GiveUpReason::AnswerStarted);
-    cr_assert(std::holds_alternative<Retry>(resumed));
+    cr_assert(std::get<GiveUp>(unresumable).reason_ == GiveUpReason::AnswerStarted);
+    cr_assert(std::holds_alternative<Retry>(resumable));
 }
 
 Test(retry_policy, no_retry_that_would_miss_the_deadline)
@@ -63,7 +63,7 @@
     cr_assert(std::get<GiveUp>(decision).reason_ == GiveUpReason::DeadlineTooClose);
 }
 
-Test(retry_policy, outage_is_not_multiplied_by_retries)
+Test(retry_policy, retries_stay_within_the_budget_during_an_outage)
 {
     RetryPolicy policy(1);
     int retries = 0;
