--- a/include/cardamombay/routing/cache_event.hpp
+++ b/include/cardamombay/routing/cache_event.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What an engine says about its prefix cache.
+/// \brief Events of an engine's prefix cache.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -16,14 +16,15 @@
     Cleared  ///< The whole cache was dropped; no blocks are listed.
 };
 
-/// \brief One cache event of a group, numbered by the engine without gaps at its source.
+/// \brief One cache event of a group. The engine numbers its events consecutively, so that a lost
+/// event shows as a gap.
 struct CacheEvent
 {
     GroupId group_;
     Generation generation_;
     std::uint64_t sequence_ = 0;
     CacheEventKind kind_ = CacheEventKind::Stored;
-    std::vector<std::uint64_t> blocks_; ///< Hashes as prefixHashes() gives them.
+    std::vector<std::uint64_t> blocks_; ///< Hashes as computed by prefixHashes().
 };
 
 } // namespace cardamombay::routing
--- a/include/cardamombay/routing/prefix_index.hpp
+++ b/include/cardamombay/routing/prefix_index.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Approximate index of which group holds which prompt prefix in its cache.
-/// \details Estimates only: a wrong entry costs a cache miss, never a wrong answer. Memory is fixed
-/// at construction; old entries lapse.
+/// \brief Approximate index of the groups that hold a prompt prefix in their cache.
+/// \details A wrong entry costs a cache miss, never a wrong response. Memory is fixed at
+/// construction; old entries expire.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -14,10 +14,10 @@
 
 namespace cardamombay::routing {
 
-/// \brief Owner of cached blocks: a small number that the router gives to a group.
+/// \brief Owner of cached blocks: a small integer that the router assigns to a group.
 using OwnerIndex = std::uint32_t;
 
-/// \brief Owners that probably hold one block.
+/// \brief Owners that probably hold a block.
 struct PrefixHolders
 {
     static constexpr std::size_t limit = 8;
@@ -28,32 +28,32 @@
     [[nodiscard]] std::span<const OwnerIndex> all() const { return {owners_.data(), count_}; }
 };
 
-/// \brief Set-associative table from block hash to owners, of fixed size.
-/// \details Each bucket holds eight (block, owner) pairs and drops the oldest when it is full, so
-/// memory and the time of every operation are bounded whatever the traffic. The index is a hint:
-/// a wrong entry costs a prefill, never a wrong answer. Entries lapse after a life time, and all
-/// entries of an owner are dropped at once by moving the owner's trust forward.
+/// \brief Set-associative table of fixed size that maps block hashes to owners.
+/// \details Each bucket holds eight (block, owner) pairs and replaces the oldest when it is full,
+/// so memory and the time of every operation are bounded at any traffic. The index is a hint: a
+/// wrong entry costs a prefill, never a wrong response. Entries expire after a lifetime; all
+/// entries of an owner are invalidated at once by advancing the time from which they are valid.
 class PrefixIndex
 {
 public:
     /// \param entries number of pairs kept, rounded up to a power of two; 16 bytes each.
-    /// \param life how long an unconfirmed entry is believed.
-    PrefixIndex(std::size_t entries, Duration life);
+    /// \param lifetime how long an entry is valid after it was last confirmed.
+    PrefixIndex(std::size_t entries, Duration lifetime);
 
-    /// \brief Notes that \p owner holds \p blocks from now on.
+    /// \brief Adds entries for \p blocks of \p owner, or confirms existing ones.
     void add(std::span<const std::uint64_t> blocks, OwnerIndex owner, TimePoint now);
 
-    /// \brief Notes that \p owner no longer holds \p blocks.
+    /// \brief Removes the entries for \p blocks of \p owner.
     void remove(std::span<const std::uint64_t> blocks, OwnerIndex owner);
 
-    /// \brief Forgets what \p owner was believed to hold before \p since.
-    void distrustBefore(OwnerIndex owner, TimePoint since);
+    /// \brief Invalidates the entries of \p owner last confirmed at \p since or before.
+    void invalidateBefore(OwnerIndex owner, TimePoint since);
 
-    /// \brief Number of leading blocks of \p blocks that some owner holds.
+    /// \brief Number of leading \p blocks that are held, each by any owner.
     [[nodiscard]] std::size_t matchedBlocks(std::span<const std::uint64_t> blocks,
                                             TimePoint now) const;
 
-    /// \brief Owners that hold \p block.
+    /// \brief Owners that probably hold \p block.
     [[nodiscard]] PrefixHolders holders(std::uint64_t block, TimePoint now) const;
 
 private:
@@ -63,7 +63,7 @@
     {
         std::uint64_t block_ = 0;
         OwnerIndex owner_ = 0;
-        Tick stamp_ = 0;
+        Tick confirmedAt_ = 0;
     };
     struct alignas(64) Bucket
     {
@@ -74,11 +74,11 @@
     [[nodiscard]] Tick oldestValid(TimePoint now) const;
     [[nodiscard]] const Bucket &bucketOf(std::uint64_t block) const;
     [[nodiscard]] bool isValid(const Slot &slot, Tick oldest) const;
-    void addOne(std::uint64_t block, OwnerIndex owner, Tick tick);
+    void addBlock(std::uint64_t block, OwnerIndex owner, Tick tick);
 
-    Duration life_;
+    Duration lifetime_;
     std::vector<Bucket> buckets_;
-    std::vector<Tick> trustedSince_; ///< By owner.
+    std::vector<Tick> validSince_; ///< By owner.
 };
 
 } // namespace cardamombay::routing
--- a/include/cardamombay/routing/route_decision.hpp
+++ b/include/cardamombay/routing/route_decision.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief A routing question and its answer.
+/// \brief Routing request and decision.
 #pragma once
 
 #include <cardamombay/core/decision_log.hpp>
@@ -17,42 +17,42 @@
 
 namespace cardamombay::routing {
 
-/// \brief What a request needs of a group.
+/// \brief Requirements that a request has for its group.
 struct RouteRequest
 {
     ServiceName service_{};
-    std::span<const std::uint64_t> prefixHashes_{}; ///< From prefixHashes(); empty if unknown.
-    std::span<const GroupId> excluded_{};           ///< Tried already, or with an open circuit.
-    const endpoint::ModelSpec *requiredModel_ = nullptr; ///< Resume: exactly this model.
-    std::optional<endpoint::GroupRole> role_{}; ///< One step only; empty for a whole request.
+    std::span<const std::uint64_t> prefixHashes_{};      ///< From prefixHashes(); empty if unknown.
+    std::span<const GroupId> excluded_{};                ///< Already attempted, or circuit open.
+    const endpoint::ModelSpec *requiredModel_ = nullptr; ///< Exact model, to resume a response.
+    std::optional<endpoint::GroupRole> role_{}; ///< One phase only; empty for a whole request.
 };
 
-/// \brief Why the group was chosen, or why there is none.
+/// \brief Why the group was chosen, or why none was.
 enum class RouteReason {
     PrefixAffinity, ///< It probably holds the prefix, and its load is within the slack.
-    PrefixHome,     ///< All entry VMs send this prefix there; its load is within the slack.
-    BetterOfTwo,    ///< The less loaded of two drawn groups.
+    PrefixHome,     ///< Chosen by rendezvous hashing of the prefix; load within the slack.
+    BetterOfTwo,    ///< The less loaded of two random groups.
     OnlyCandidate,
     UnknownService, ///< The snapshot has no such service.
-    NoGroups,       ///< The service has no group that could take this step.
-    AllStale,       ///< Each group has a member without a fresh observation.
-    AllVetoed,      ///< Each fresh group leaves or drains.
-    AllExcluded,    ///< The request excluded each usable group.
+    NoGroups,       ///< The service has no group for this phase.
+    AllStale,       ///< Every group has a member without a fresh observation.
+    AllVetoed,      ///< Every fresh group has a leaving member or is draining.
+    AllExcluded,    ///< The request excludes every usable group.
     OtherModel      ///< No usable group serves the required model and version.
 };
 
 /// \brief Short name, for logs and metrics, such as "prefix-affinity".
 [[nodiscard]] std::string_view nameOf(RouteReason reason);
 
-/// \brief A group that was weighed.
+/// \brief A group that was considered.
 struct RouteCandidate
 {
     const SnapshotGroup *group_ = nullptr;
-    double load_ = 0;                 ///< Estimated share of capacity, with zone penalty.
+    double load_ = 0;                 ///< Estimated load over capacity, with penalties.
     std::uint32_t matchedBlocks_ = 0; ///< Prompt blocks it probably holds.
 };
 
-/// \brief How many groups of the service were passed over, by cause.
+/// \brief Number of skipped groups of the service, by reason.
 struct SkippedGroups
 {
     std::uint32_t stale_ = 0;
@@ -63,36 +63,36 @@
     std::uint32_t ejected_ = 0;
 };
 
-/// \brief The group for a request; the pointers live as long as the snapshot.
+/// \brief The group chosen for a request; the pointers are valid while the snapshot exists.
 struct RouteDecision
 {
     static constexpr std::size_t candidateLimit = 4;
 
-    const SnapshotGroup *group_ = nullptr;       ///< Null: none, see reason_.
-    const SnapshotGroup *decodeGroup_ = nullptr; ///< Set if group_ only prefills and hands over.
+    const SnapshotGroup *group_ = nullptr;       ///< Null if none; see reason_.
+    const SnapshotGroup *decodeGroup_ = nullptr; ///< Set if group_ only does the prefill.
     RouteReason reason_ = RouteReason::NoGroups;
     std::uint32_t usable_ = 0; ///< Groups that could have been chosen.
-    SkippedGroups passedOver_{};
+    SkippedGroups skipped_{};
     std::array<RouteCandidate, candidateLimit> candidates_{};
     std::size_t candidateCount_ = 0;
 
-    /// \brief The groups that were weighed; the chosen one is first.
+    /// \brief The groups that were considered; the chosen one is first.
     [[nodiscard]] std::span<const RouteCandidate> candidates() const
     {
         return {candidates_.data(), candidateCount_};
     }
 
-    /// \brief The record for "cardamombayctl explain".
+    /// \brief Decision record for "cardamombayctl explain".
     [[nodiscard]] DecisionRecord record(const RouteRequest &request, std::string subject,
                                         TimePoint now) const;
 };
 
-/// \brief What a finished attempt showed of its group.
+/// \brief Measurements of a finished attempt.
 struct RequestSample
 {
-    Duration timeToFirstToken_{}; ///< Or to the first byte; zero if none came.
-    bool isOk_ = true;            ///< False if the group failed, not if the caller left.
-    Duration timePerToken_{};     ///< Mean time between tokens; tells slow groups of models.
+    Duration timeToFirstToken_{}; ///< Or to the first byte; zero if none arrived.
+    bool isOk_ = true;            ///< False if the group failed, not if the caller disconnected.
+    Duration timePerToken_{};     ///< Mean time between tokens; zero if unknown.
 };
 
 } // namespace cardamombay::routing
--- a/include/cardamombay/routing/router.hpp
+++ b/include/cardamombay/routing/router.hpp
@@ -1,8 +1,8 @@
 /// \file
 /// \brief Chooses the group for a request.
-/// \details The module decides where new work goes. It never sends anything, and it never chooses
-/// a group with a member missing, leaving or unheard of: it guards the promises that only whole
-/// groups serve and that a leaving endpoint gets no new work.
+/// \details The router never chooses a group with a member that is missing, leaving or not freshly
+/// observed. It thus ensures that only complete groups serve and that a leaving endpoint gets no
+/// new requests. It sends nothing itself.
 #pragma once
 
 #include <cardamombay/core/random.hpp>
@@ -21,11 +21,11 @@
 class RouterState;
 } // namespace impl
 
-/// \brief Routing decisions of one entry VM; single-threaded.
-/// \details A group that probably holds the prompt's prefix is taken while its load is within a
-/// slack of the least loaded group; otherwise the better of two drawn groups is taken. Load is
-/// what others put on the group (the lagging report less the router's own requests at that time,
-/// or the peers' digests if higher) plus the router's own requests now.
+/// \brief Router of one entry VM; not thread-safe.
+/// \details A group that probably holds the prompt's prefix is chosen while its load exceeds the
+/// mean by at most the affinity slack; otherwise the less loaded of two random groups. The load of
+/// a group is the requests of other entry VMs (the lagging load report minus the router's own
+/// requests at that time, or the peers' digests if higher) plus the router's own requests now.
 /// \code
 /// const auto hashes = prefixHashes(prompt);
 /// const auto decision = router.choose(*snapshot, {.service_ = service,
@@ -42,24 +42,25 @@
     ~Router();
 
     /// \brief Chooses a group for \p request.
-    /// \param snapshot a published snapshot; its sequence number must differ from that of every
-    /// other snapshot, zero means that nothing may be kept of it.
-    /// \param request what is asked.
-    /// \param now the present instant.
-    /// \returns the group, or none with the reason.
+    /// \param snapshot a published snapshot; its sequence number must be unique, and zero disables
+    /// caching between calls.
+    /// \param request the requirements.
+    /// \param now the current time.
+    /// \returns the chosen group, or the reason why there is none.
     [[nodiscard]] RouteDecision choose(const RoutingSnapshot &snapshot, const RouteRequest &request,
                                        TimePoint now);
 
-    /// \brief An attempt is about to be handed to \p group.
+    /// \brief An attempt is about to be sent to \p group.
     void started(const GroupId &group, std::span<const std::uint64_t> prefixHashes, TimePoint now);
 
-    /// \brief An attempt at \p group is over; call once for each started().
+    /// \brief An attempt at \p group has ended; call it once for each started().
     void finished(const GroupId &group, const RequestSample &sample, TimePoint now);
 
-    /// \brief Takes in an engine's cache event; late ones are ignored, a gap costs trust.
+    /// \brief Applies a cache event of an engine. Out-of-order events are ignored; a gap in the
+    /// sequence invalidates the older entries of the group.
     void cacheChanged(const CacheEvent &event, TimePoint now);
 
-    /// \brief Own attempts in flight at \p group, for digests and metrics.
+    /// \brief This router's attempts in flight at \p group, for digests and metrics.
     [[nodiscard]] std::uint32_t inFlight(const GroupId &group) const;
 
 private:
--- a/include/cardamombay/routing/routing_snapshot.hpp
+++ b/include/cardamombay/routing/routing_snapshot.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What the control thread hands to the traffic threads: an immutable state of the fleet.
+/// \brief Immutable state of the fleet, passed from the control thread to the traffic threads.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -15,29 +15,30 @@
 
 namespace cardamombay::routing {
 
-/// \brief A replica (or one endpoint of a plain service) as routing sees it.
-/// \details A group is usable only before freshUntil_, the earliest instant at which the
-/// observation of one of its members lapses. Silence thus ends its use without any event.
+/// \brief Routing data of a replica, or of one endpoint of a plain service.
+/// \details A group is usable only before freshUntil_, the earliest time at which the observation
+/// of one of its members expires. A group that stops reporting thus becomes unusable without any
+/// event.
 struct SnapshotGroup
 {
-    GroupId group_; ///< Plain endpoints: the VM's name.
+    GroupId group_; ///< For plain endpoints, the VM's name.
     Generation generation_;
     AvailabilityZone zone_;
     FabricDomain domain_;
     endpoint::ModelSpec model_;
     endpoint::GroupRole role_ = endpoint::GroupRole::Mixed;
     VmId leader_;
-    Address address_; ///< Where rank 0 takes requests.
+    Address address_; ///< Request address of rank 0.
     std::vector<VmId> members_;
     TimePoint freshUntil_{};
-    bool isVetoed_ = false; ///< A member leaves or the group drains: no new work.
+    bool isVetoed_ = false; ///< A member is leaving or the group is draining: no new requests.
     bool isStraggler_ = false;
     std::uint32_t capacity_ = 1;
     endpoint::LoadReport load_;
-    TimePoint loadTakenAt_{};        ///< When the engine took the figures: hearing less load_.lag_.
-    std::uint32_t peerInFlight_ = 0; ///< In flight from other entry VMs, by their digests.
+    TimePoint loadTakenAt_{}; ///< When the engine measured load_: reception minus load_.lag_.
+    std::uint32_t peerInFlight_ = 0; ///< In flight from other entry VMs, from their digests.
 
-    /// \brief True if new work may be handed to the group at \p now.
+    /// \brief True if new requests may be sent to the group at \p now.
     [[nodiscard]] bool isUsable(TimePoint now) const { return !isVetoed_ && now < freshUntil_; }
 };
 
@@ -48,7 +49,7 @@
     std::vector<SnapshotGroup> groups_;
 };
 
-/// \brief Demand of a team for a service at one entry VM, as digested.
+/// \brief Demand of a team for a service at one entry VM, as sent in digests.
 struct DemandReport
 {
     ServiceName service_;
@@ -59,14 +60,14 @@
     friend bool operator==(const DemandReport &, const DemandReport &) = default;
 };
 
-/// \brief Demand that a live peer reported.
+/// \brief Demand reported by a live peer.
 struct PeerDemand
 {
     EntryId entry_;
     std::vector<DemandReport> demand_;
 };
 
-/// \brief Immutable state of the fleet; replaced whole, read without locks.
+/// \brief Immutable state of the fleet; replaced as a whole and read without locks.
 struct RoutingSnapshot
 {
     std::uint64_t sequence_ = 0;
@@ -77,7 +78,7 @@
     std::vector<PeerDemand> peerDemand_; ///< Live peers only, sorted by entry.
     bool isStoreReachable_ = false;
 
-    /// \brief The groups of \p service, or null.
+    /// \brief The groups of \p service, or null if it is unknown.
     [[nodiscard]] const SnapshotService *service(const ServiceName &service) const;
 };
 
--- a/src/routing/group_book.cpp
+++ b/src/routing/group_registry.cpp
@@ -1,4 +1,4 @@
-#include "routing/group_book.hpp"
+#include "routing/group_registry.hpp"
 
 #include <algorithm>
 
@@ -6,41 +6,41 @@
 
 namespace {
 
-constexpr Duration forgetAfter = std::chrono::minutes(5);
-constexpr double newSampleWeight = 0.2;
+constexpr Duration unseenGroupLifetime = std::chrono::minutes(5);
+constexpr double minimumSampleWeight = 0.2;
 
 } // namespace
 
-void StepHistory::set(TimePoint now, std::uint32_t value)
+void CountHistory::set(TimePoint now, std::uint32_t value)
 {
-    steps_[count_ % limit] = Step{now, value};
+    changes_[count_ % limit] = Change{now, value};
     ++count_;
 }
 
-std::uint32_t StepHistory::at(TimePoint time) const
+std::uint32_t CountHistory::at(TimePoint time) const
 {
     const std::size_t kept = std::min(count_, limit);
     for (std::size_t back = 1; back <= kept; ++back) {
-        const Step &step = steps_[(count_ - back) % limit];
-        if (step.time_ <= time)
-            return step.value_;
+        const Change &change = changes_[(count_ - back) % limit];
+        if (change.time_ <= time)
+            return change.value_;
     }
-    const bool isForgotten = count_ > limit;
-    return isForgotten ? steps_[count_ % limit].value_ : 0;
+    const bool hasOverflowed = count_ > limit;
+    return hasOverflowed ? changes_[count_ % limit].value_ : 0;
 }
 
-OwnerIndex GroupBook::indexOf(const GroupId &group)
+OwnerIndex GroupRegistry::findOrAdd(const GroupId &group)
 {
     const auto found = indexes_.find(group);
     if (found != indexes_.end())
         return found->second;
     OwnerIndex index = static_cast<OwnerIndex>(states_.size());
-    if (free_.empty()) {
+    if (freeIndexes_.empty()) {
         states_.emplace_back();
         inFlight_.push_back(0);
     } else {
-        index = free_.back();
-        free_.pop_back();
+        index = freeIndexes_.back();
+        freeIndexes_.pop_back();
     }
     states_[index] = GroupState{};
     states_[index].group_ = group;
@@ -50,7 +50,7 @@
     return index;
 }
 
-std::optional<OwnerIndex> GroupBook::find(const GroupId &group) const
+std::optional<OwnerIndex> GroupRegistry::find(const GroupId &group) const
 {
     const auto found = indexes_.find(group);
     if (found == indexes_.end())
@@ -58,25 +58,25 @@
     return found->second;
 }
 
-void GroupBook::started(OwnerIndex index, TimePoint now)
+void GroupRegistry::started(OwnerIndex index, TimePoint now)
 {
     ++inFlight_[index];
     states_[index].ownInFlight_.set(now, inFlight_[index]);
 }
 
-void GroupBook::finished(OwnerIndex index, const RequestSample &sample, TimePoint now)
+void GroupRegistry::finished(OwnerIndex index, const RequestSample &sample, TimePoint now)
 {
     GroupState &state = states_[index];
     if (inFlight_[index] > 0)
         --inFlight_[index];
     state.ownInFlight_.set(now, inFlight_[index]);
     if (sample.isOk_)
-        learnSpeed(state, sample);
+        updateResponseTime(state, sample);
 }
 
-void GroupBook::learnSpeed(GroupState &state, const RequestSample &sample)
+void GroupRegistry::updateResponseTime(GroupState &state, const RequestSample &sample)
 {
-    // The time to the first token says more of the cache than of the group's speed.
+    // The time to the first token depends more on the cache than on the group's speed.
     const bool hasTokens = sample.timePerToken_ > Duration::zero();
     const Duration time = hasTokens              ? sample.timePerToken_
                           : state.streamsTokens_ ? Duration::zero()
@@ -84,36 +84,36 @@
     if (time <= Duration::zero())
         return;
     const double seconds = toSeconds(time);
-    const double weight = std::max(newSampleWeight, 1.0 / (state.samples_ + 1));
-    state.answerTime_ += weight * (seconds - state.answerTime_);
+    const double weight = std::max(minimumSampleWeight, 1.0 / (state.samples_ + 1));
+    state.meanResponseSeconds_ += weight * (seconds - state.meanResponseSeconds_);
     ++state.samples_;
 }
 
-void GroupBook::formed(OwnerIndex index, Generation generation, TimePoint now)
+void GroupRegistry::observeGeneration(OwnerIndex index, Generation generation, TimePoint now)
 {
     GroupState &state = states_[index];
     if (generation <= state.generation_)
         return;
     state.generation_ = generation;
-    state.answerTime_ = 0;
+    state.meanResponseSeconds_ = 0;
     state.samples_ = 0;
     state.ejectedUntil_ = TimePoint{};
-    state.ejections_ = 0;
-    state.cacheSequence_.reset();
-    index_.distrustBefore(index, now);
+    state.consecutiveEjections_ = 0;
+    state.lastCacheSequence_.reset();
+    index_.invalidateBefore(index, now);
 }
 
-void GroupBook::forgetUnseen(TimePoint now)
+void GroupRegistry::evictUnseen(TimePoint now)
 {
     for (OwnerIndex index = 0; index < states_.size(); ++index) {
         GroupState &state = states_[index];
-        const bool isLive = inFlight_[index] > 0 || now - state.seenAt_ < forgetAfter;
+        const bool isLive = inFlight_[index] > 0 || now - state.lastSeenAt_ < unseenGroupLifetime;
         if (!state.isUsed_ || isLive)
             continue;
         indexes_.erase(state.group_);
         state.isUsed_ = false;
-        free_.push_back(index);
-        index_.distrustBefore(index, now);
+        freeIndexes_.push_back(index);
+        index_.invalidateBefore(index, now);
     }
 }
 
--- a/src/routing/prefix_index.cpp
+++ b/src/routing/prefix_index.cpp
@@ -11,22 +11,22 @@
 
 } // namespace
 
-PrefixIndex::PrefixIndex(std::size_t entries, Duration life)
-    : life_(life)
+PrefixIndex::PrefixIndex(std::size_t entries, Duration lifetime)
+    : lifetime_(lifetime)
     , buckets_(std::bit_ceil(std::max(entries / PrefixHolders::limit, std::size_t{1})))
 {
 }
 
 void PrefixIndex::add(std::span<const std::uint64_t> blocks, OwnerIndex owner, TimePoint now)
 {
-    if (owner >= trustedSince_.size())
-        trustedSince_.resize(owner + 1, 0);
+    if (owner >= validSince_.size())
+        validSince_.resize(owner + 1, 0);
     const Tick tick = tickOf(now);
     for (const std::uint64_t block : blocks)
-        addOne(block, owner, tick);
+        addBlock(block, owner, tick);
 }
 
-void PrefixIndex::addOne(std::uint64_t block, OwnerIndex owner, Tick tick)
+void PrefixIndex::addBlock(std::uint64_t block, OwnerIndex owner, Tick tick)
 {
     auto &slots = buckets_[block & (buckets_.size() - 1)].slots_;
     Slot *target = nullptr;
@@ -35,7 +35,7 @@
             target = &slot;
             break;
         }
-        if (!target || slot.stamp_ < target->stamp_)
+        if (!target || slot.confirmedAt_ < target->confirmedAt_)
             target = &slot;
     }
     *target = Slot{block, owner, tick};
@@ -51,26 +51,26 @@
     }
 }
 
-void PrefixIndex::distrustBefore(OwnerIndex owner, TimePoint since)
+void PrefixIndex::invalidateBefore(OwnerIndex owner, TimePoint since)
 {
-    if (owner >= trustedSince_.size())
-        trustedSince_.resize(owner + 1, 0);
-    trustedSince_[owner] = std::max(trustedSince_[owner], tickOf(since) + 1);
+    if (owner >= validSince_.size())
+        validSince_.resize(owner + 1, 0);
+    validSince_[owner] = std::max(validSince_[owner], tickOf(since) + 1);
 }
 
 std::size_t PrefixIndex::matchedBlocks(std::span<const std::uint64_t> blocks, TimePoint now) const
 {
-    // A block is held only with everything before it, so the end of the match can be bisected.
-    std::size_t known = 0;
-    std::size_t unknown = blocks.size() + 1;
-    while (unknown - known > 1) {
-        const std::size_t middle = known + (unknown - known) / 2;
+    // A block is held only if all blocks before it are, so binary search finds the last match.
+    std::size_t matched = 0;
+    std::size_t unmatched = blocks.size() + 1;
+    while (unmatched - matched > 1) {
+        const std::size_t middle = matched + (unmatched - matched) / 2;
         if (holders(blocks[middle - 1], now).count_ > 0)
-            known = middle;
+            matched = middle;
         else
-            unknown = middle;
+            unmatched = middle;
     }
-    return known;
+    return matched;
 }
 
 PrefixHolders PrefixIndex::holders(std::uint64_t block, TimePoint now) const
@@ -91,9 +91,9 @@
 
 PrefixIndex::Tick PrefixIndex::oldestValid(TimePoint now) const
 {
-    const Tick life = static_cast<Tick>(life_ / tickLength);
+    const Tick lifetime = static_cast<Tick>(lifetime_ / tickLength);
     const Tick tick = tickOf(now);
-    return tick > life ? tick - life : 1;
+    return tick > lifetime ? tick - lifetime : 1;
 }
 
 const PrefixIndex::Bucket &PrefixIndex::bucketOf(std::uint64_t block) const
@@ -103,7 +103,7 @@
 
 bool PrefixIndex::isValid(const Slot &slot, Tick oldest) const
 {
-    return slot.stamp_ >= oldest && slot.stamp_ >= trustedSince_[slot.owner_];
+    return slot.confirmedAt_ >= oldest && slot.confirmedAt_ >= validSince_[slot.owner_];
 }
 
 } // namespace cardamombay::routing
--- a/src/routing/route_decision.cpp
+++ b/src/routing/route_decision.cpp
@@ -48,12 +48,12 @@
         record.inputs_.push_back({"decode", decodeGroup_->group_.text()});
     add("prompt_blocks", request.prefixHashes_.size());
     add("usable", usable_);
-    add("stale", passedOver_.stale_);
-    add("vetoed", passedOver_.vetoed_);
-    add("excluded", passedOver_.excluded_);
-    add("other_model", passedOver_.otherModel_);
-    add("other_role", passedOver_.otherRole_);
-    add("ejected", passedOver_.ejected_);
+    add("stale", skipped_.stale_);
+    add("vetoed", skipped_.vetoed_);
+    add("excluded", skipped_.excluded_);
+    add("other_model", skipped_.otherModel_);
+    add("other_role", skipped_.otherRole_);
+    add("ejected", skipped_.ejected_);
     for (const RouteCandidate &candidate : candidates())
         record.alternatives_.push_back({candidate.group_->group_.text(), candidate.load_});
     return record;
--- a/src/routing/router_state.cpp
+++ b/src/routing/router_state.cpp
@@ -11,14 +11,14 @@
 
 using endpoint::GroupRole;
 
-constexpr double passedOverLoad = -1;
-constexpr double noLoad = std::numeric_limits<double>::infinity();
+constexpr double skippedLoad = -1;
+constexpr double infiniteLoad = std::numeric_limits<double>::infinity();
 
-/// Ejections by own measurement are looked at again this often under one snapshot.
-constexpr Duration viewLife = std::chrono::seconds(1);
+/// Older views are rebuilt even if the snapshot is the same, to update the ejections.
+constexpr Duration viewMaxAge = std::chrono::seconds(1);
 
-/// Prompts shorter than this many blocks have no home: there is little to save.
-constexpr std::size_t minimumAnchor = 4;
+/// Prompts shorter than this many blocks have no home group: a cache hit would save little.
+constexpr std::size_t minimumHomeBlocks = 4;
 
 /// \brief Spreads the bits of \p value (the finalizer of SplitMix64).
 [[nodiscard]] std::uint64_t mix(std::uint64_t value)
@@ -28,24 +28,24 @@
     return value ^ (value >> 31);
 }
 
-/// \brief Why nothing could be taken; the cause nearest to being usable is named.
-[[nodiscard]] RouteReason reasonForNone(const SkippedGroups &passedOver)
+/// \brief Why no group is eligible: the reason of the groups that passed the most checks.
+[[nodiscard]] RouteReason unroutableReason(const SkippedGroups &skipped)
 {
-    if (passedOver.otherModel_ > 0)
+    if (skipped.otherModel_ > 0)
         return RouteReason::OtherModel;
-    if (passedOver.excluded_ > 0)
+    if (skipped.excluded_ > 0)
         return RouteReason::AllExcluded;
-    if (passedOver.vetoed_ > 0)
+    if (skipped.vetoed_ > 0)
         return RouteReason::AllVetoed;
-    if (passedOver.stale_ > 0)
+    if (skipped.stale_ > 0)
         return RouteReason::AllStale;
     return RouteReason::NoGroups;
 }
 
-/// \brief A group's rank as the home of a prefix.
-struct Home
+/// \brief A group's rank as the home of a prefix, by rendezvous hashing.
+struct HomeCandidate
 {
-    std::uint64_t weight_ = 0; ///< Zero: none.
+    std::uint64_t weight_ = 0; ///< Zero if there is no group.
     std::size_t position_ = 0;
 };
 
@@ -63,8 +63,8 @@
 RouterState::RouterState(std::uint64_t seed, RouterPolicy policy)
     : policy_(policy)
     , random_(seed)
-    , index_(policy.prefixEntries_, policy.prefixLife_)
-    , book_(index_)
+    , index_(policy.prefixEntries_, policy.prefixLifetime_)
+    , registry_(index_)
 {
 }
 
@@ -79,17 +79,17 @@
     }
     markExcluded(*view, request.excluded_);
     if (request.role_)
-        return pick(*view, request, Step{*request.role_}, now);
-    if (!view->hasPairs_)
-        return pick(*view, request, Step{}, now);
+        return pick(*view, request, Phase{*request.role_}, now);
+    if (!view->isDisaggregated_)
+        return pick(*view, request, Phase{}, now);
 
-    RouteDecision prefill = pick(*view, request, Step{GroupRole::Prefill}, now);
+    RouteDecision prefill = pick(*view, request, Phase{GroupRole::Prefill}, now);
     if (!prefill.group_)
-        return pick(*view, request, Step{}, now);
-    const Step decodeStep{GroupRole::Decode, &prefill.group_->domain_};
-    const RouteDecision decode = pick(*view, request, decodeStep, now);
+        return pick(*view, request, Phase{}, now);
+    const Phase decodePhase{GroupRole::Decode, &prefill.group_->domain_};
+    const RouteDecision decode = pick(*view, request, decodePhase, now);
     if (!decode.group_)
-        return pick(*view, request, Step{}, now);
+        return pick(*view, request, Phase{}, now);
     prefill.decodeGroup_ = decode.group_;
     return prefill;
 }
@@ -97,34 +97,34 @@
 const ServiceView *RouterState::viewOf(const RoutingSnapshot &snapshot, const ServiceName &service,
                                        TimePoint now)
 {
-    const bool isSame = viewed_ == &snapshot && viewedSequence_ == snapshot.sequence_
-                        && snapshot.sequence_ != 0 && now - viewedAt_ < viewLife;
+    const bool isSame = viewedSnapshot_ == &snapshot && viewedSequence_ == snapshot.sequence_
+                        && snapshot.sequence_ != 0 && now - viewedAt_ < viewMaxAge;
     if (!isSame)
-        dropViews(snapshot, now);
+        resetViews(snapshot, now);
     const auto found = views_.find(service);
     if (found != views_.end())
         return &found->second;
     const SnapshotService *groups = snapshot.service(service);
     if (!groups)
         return nullptr;
-    auto view = makeServiceView(snapshot, *groups, policy_, book_, now);
+    auto view = makeServiceView(snapshot, *groups, policy_, registry_, now);
     return &views_.emplace(service, std::move(view)).first->second;
 }
 
-void RouterState::dropViews(const RoutingSnapshot &snapshot, TimePoint now)
+void RouterState::resetViews(const RoutingSnapshot &snapshot, TimePoint now)
 {
     views_.clear();
-    viewed_ = &snapshot;
+    viewedSnapshot_ = &snapshot;
     viewedSequence_ = snapshot.sequence_;
     viewedAt_ = now;
-    book_.forgetUnseen(now);
+    registry_.evictUnseen(now);
 }
 
 void RouterState::markExcluded(const ServiceView &view, std::span<const GroupId> excluded)
 {
     isExcluded_.assign(view.groups_.size(), 0);
     for (const GroupId &group : excluded) {
-        const auto owner = book_.find(group);
+        const auto owner = registry_.find(group);
         const auto position = owner ? view.position(*owner) : std::nullopt;
         if (position)
             isExcluded_[*position] = 1;
@@ -132,99 +132,102 @@
 }
 
 RouteDecision RouterState::pick(const ServiceView &view, const RouteRequest &request,
-                                const Step &step, TimePoint now)
+                                const Phase &phase, TimePoint now)
 {
     RouteDecision decision;
-    weigh(view, request, step, now, decision, false);
-    // Ejection only ever prefers: a slow group is better than none.
-    if (decision.usable_ == 0 && decision.passedOver_.ejected_ > 0)
-        weigh(view, request, step, now, decision, true);
+    computeLoads(view, request, phase, now, decision, false);
+    // Ejected groups are used if no other group is eligible.
+    if (decision.usable_ == 0 && decision.skipped_.ejected_ > 0)
+        computeLoads(view, request, phase, now, decision, true);
     if (decision.usable_ == 0) {
-        decision.reason_ = reasonForNone(decision.passedOver_);
+        decision.reason_ = unroutableReason(decision.skipped_);
         return decision;
     }
-    const Weighed weighed = summarize();
-    const bool usesCache = step.role_ != GroupRole::Decode;
-    if (usesCache && pickByPrefix(view, request, weighed, now, decision))
+    const LoadSummary summary = summarizeLoads();
+    const bool usesCache = phase.role_ != GroupRole::Decode;
+    if (usesCache && pickByPrefix(view, request, summary, now, decision))
         return decision;
-    pickBetterOfTwo(view, weighed, decision);
+    pickBetterOfTwo(view, summary, decision);
     return decision;
 }
 
-bool RouterState::mayTake(const GroupView &entry, std::size_t position, const RouteRequest &request,
-                          const Step &step, TimePoint now, SkippedGroups &passedOver) const
+bool RouterState::isEligible(const GroupView &entry, std::size_t position,
+                             const RouteRequest &request, const Phase &phase, TimePoint now,
+                             SkippedGroups &skipped) const
 {
     std::uint32_t *cause = nullptr;
-    if (entry.role_ != step.role_)
-        cause = &passedOver.otherRole_;
+    if (entry.role_ != phase.role_)
+        cause = &skipped.otherRole_;
     else if (now >= entry.freshUntil_)
-        cause = &passedOver.stale_;
+        cause = &skipped.stale_;
     else if (entry.isVetoed_)
-        cause = &passedOver.vetoed_;
+        cause = &skipped.vetoed_;
     else if (isExcluded_[position])
-        cause = &passedOver.excluded_;
+        cause = &skipped.excluded_;
     else if (request.requiredModel_ && entry.group_->model_ != *request.requiredModel_)
-        cause = &passedOver.otherModel_;
+        cause = &skipped.otherModel_;
     if (cause)
         ++*cause;
     return cause == nullptr;
 }
 
-void RouterState::weigh(const ServiceView &view, const RouteRequest &request, const Step &step,
-                        TimePoint now, RouteDecision &decision, bool takesEjected)
+void RouterState::computeLoads(const ServiceView &view, const RouteRequest &request,
+                               const Phase &phase, TimePoint now, RouteDecision &decision,
+                               bool includesEjected)
 {
     const std::size_t count = view.groups_.size();
-    loads_.assign(count, passedOverLoad);
-    locals_.clear();
-    remotes_.clear();
-    decision.passedOver_ = SkippedGroups{};
+    loads_.assign(count, skippedLoad);
+    localPositions_.clear();
+    remotePositions_.clear();
+    decision.skipped_ = SkippedGroups{};
     for (std::size_t position = 0; position < count; ++position) {
         const GroupView &entry = view.groups_[position];
-        if (!mayTake(entry, position, request, step, now, decision.passedOver_))
+        if (!isEligible(entry, position, request, phase, now, decision.skipped_))
             continue;
-        if (entry.isEjected_ && !takesEjected) {
-            ++decision.passedOver_.ejected_;
+        if (entry.isEjected_ && !includesEjected) {
+            ++decision.skipped_.ejected_;
             continue;
         }
-        double load = (entry.othersLoad_ + book_.inFlight(entry.owner_)) * entry.perCapacity_;
-        if (step.near_ && entry.group_->domain_ != *step.near_)
-            load += policy_.domainPenalty_;
+        double load
+            = (entry.otherInFlight_ + registry_.inFlight(entry.owner_)) * entry.inverseCapacity_;
+        if (phase.preferredDomain_ && entry.group_->domain_ != *phase.preferredDomain_)
+            load += policy_.crossDomainPenalty_;
         loads_[position] = load;
-        auto &positions = entry.isLocal_ ? locals_ : remotes_;
+        auto &positions = entry.isLocal_ ? localPositions_ : remotePositions_;
         positions.push_back(static_cast<std::uint32_t>(position));
     }
-    decision.usable_ = static_cast<std::uint32_t>(locals_.size() + remotes_.size());
+    decision.usable_ = static_cast<std::uint32_t>(localPositions_.size() + remotePositions_.size());
 }
 
-RouterState::Weighed RouterState::summarize() const
+RouterState::LoadSummary RouterState::summarizeLoads() const
 {
-    Weighed weighed{0, noLoad, noLoad};
-    for (const std::uint32_t position : locals_) {
-        weighed.leastLocal_ = std::min(weighed.leastLocal_, loads_[position]);
-        weighed.mean_ += loads_[position];
+    LoadSummary summary{0, infiniteLoad, infiniteLoad};
+    for (const std::uint32_t position : localPositions_) {
+        summary.leastLocal_ = std::min(summary.leastLocal_, loads_[position]);
+        summary.mean_ += loads_[position];
     }
-    for (const std::uint32_t position : remotes_) {
-        weighed.leastRemote_ = std::min(weighed.leastRemote_, loads_[position]);
-        weighed.mean_ += loads_[position];
+    for (const std::uint32_t position : remotePositions_) {
+        summary.leastRemote_ = std::min(summary.leastRemote_, loads_[position]);
+        summary.mean_ += loads_[position];
     }
-    weighed.mean_ /= double(locals_.size() + remotes_.size());
-    return weighed;
+    summary.mean_ /= double(localPositions_.size() + remotePositions_.size());
+    return summary;
 }
 
 bool RouterState::pickByPrefix(const ServiceView &view, const RouteRequest &request,
-                               const Weighed &weighed, TimePoint now, RouteDecision &decision)
+                               const LoadSummary &summary, TimePoint now, RouteDecision &decision)
 {
     const auto blocks = request.prefixHashes_;
-    const double limit = weighed.mean_ + policy_.affinitySlack_;
+    const double limit = summary.mean_ + policy_.affinitySlack_;
     const std::size_t matched = index_.matchedBlocks(blocks, now);
-    const std::size_t anchor = std::bit_floor(blocks.size());
-    if (matched >= anchor && matched > 0
+    const std::size_t homeDepth = std::bit_floor(blocks.size());
+    if (matched >= homeDepth && matched > 0
         && pickHolderAt(view, blocks[matched - 1], matched, limit, now, decision))
         return true;
-    // Another entry VM may have served the rest of the prompt; all of them agree on its home.
-    if (anchor >= minimumAnchor && pickHome(view, blocks[anchor - 1], limit, decision))
+    // Other entry VMs may have sent the prefix to its home group, on which all of them agree.
+    if (homeDepth >= minimumHomeBlocks && pickHome(view, blocks[homeDepth - 1], limit, decision))
         return true;
-    // Fewer matched blocks have more holders, so a loaded deep holder gives way to shallower ones.
+    // Shorter prefixes have more holders, so try them if the holders of longer ones are overloaded.
     for (std::size_t depth = matched; depth > 0; depth /= 2) {
         if (pickHolderAt(view, blocks[depth - 1], depth, limit, now, decision))
             return true;
@@ -241,12 +244,12 @@
 bool RouterState::pickHolderAt(const ServiceView &view, std::uint64_t block, std::size_t depth,
                                double limit, TimePoint now, RouteDecision &decision) const
 {
-    double best = noLoad;
+    double best = infiniteLoad;
     std::size_t bestPosition = 0;
     const PrefixHolders holders = index_.holders(block, now);
     for (const OwnerIndex owner : holders.all()) {
         const auto position = view.position(owner);
-        if (!position || loads_[*position] == passedOverLoad)
+        if (!position || loads_[*position] == skippedLoad)
             continue;
         const double load = affinityLoad(view, *position);
         if (load < best) {
@@ -262,23 +265,23 @@
     return true;
 }
 
-bool RouterState::pickHome(const ServiceView &view, std::uint64_t anchor, double limit,
+bool RouterState::pickHome(const ServiceView &view, std::uint64_t homeHash, double limit,
                            RouteDecision &decision) const
 {
-    Home first;
-    Home second;
-    for (const auto *positions : {&locals_, &remotes_}) {
+    HomeCandidate first;
+    HomeCandidate second;
+    for (const auto *positions : {&localPositions_, &remotePositions_}) {
         for (const std::uint32_t position : *positions) {
-            const Home home{mix(anchor ^ view.groups_[position].hash_), position};
+            const HomeCandidate home{mix(homeHash ^ view.groups_[position].hash_), position};
             if (home.weight_ > first.weight_)
                 second = std::exchange(first, home);
             else if (home.weight_ > second.weight_)
                 second = home;
         }
     }
-    for (const Home &home : {first, second}) {
+    for (const HomeCandidate &home : {first, second}) {
         const bool isNone = home.weight_ == 0;
-        const double load = isNone ? noLoad : affinityLoad(view, home.position_);
+        const double load = isNone ? infiniteLoad : affinityLoad(view, home.position_);
         if (load > limit)
             continue;
         decision.group_ = view.groups_[home.position_].group_;
@@ -289,23 +292,23 @@
     return false;
 }
 
-const std::vector<std::uint32_t> &RouterState::pool(const Weighed &weighed)
+const std::vector<std::uint32_t> &RouterState::candidatePool(const LoadSummary &summary)
 {
-    if (remotes_.empty())
-        return locals_;
-    if (locals_.empty())
-        return remotes_;
-    if (weighed.leastLocal_ <= weighed.leastRemote_ + policy_.zoneSlack_)
-        return locals_;
-    all_ = locals_;
-    all_.insert(all_.end(), remotes_.begin(), remotes_.end());
-    return all_;
+    if (remotePositions_.empty())
+        return localPositions_;
+    if (localPositions_.empty())
+        return remotePositions_;
+    if (summary.leastLocal_ <= summary.leastRemote_ + policy_.zoneSlack_)
+        return localPositions_;
+    allPositions_ = localPositions_;
+    allPositions_.insert(allPositions_.end(), remotePositions_.begin(), remotePositions_.end());
+    return allPositions_;
 }
 
-void RouterState::pickBetterOfTwo(const ServiceView &view, const Weighed &weighed,
+void RouterState::pickBetterOfTwo(const ServiceView &view, const LoadSummary &summary,
                                   RouteDecision &decision)
 {
-    const auto &positions = pool(weighed);
+    const auto &positions = candidatePool(summary);
     const auto loadOf = [&](std::uint32_t position) {
         const double penalty = view.groups_[position].isLocal_ ? 0 : policy_.zoneSlack_;
         return loads_[position] + penalty;
@@ -330,34 +333,35 @@
 void RouterState::started(const GroupId &group, std::span<const std::uint64_t> blocks,
                           TimePoint now)
 {
-    const OwnerIndex owner = book_.indexOf(group);
-    book_.state(owner).seenAt_ = now;
-    book_.started(owner, now);
+    const OwnerIndex owner = registry_.findOrAdd(group);
+    registry_.state(owner).lastSeenAt_ = now;
+    registry_.started(owner, now);
     index_.add(blocks, owner, now);
 }
 
 void RouterState::finished(const GroupId &group, const RequestSample &sample, TimePoint now)
 {
-    const auto owner = book_.find(group);
+    const auto owner = registry_.find(group);
     if (owner)
-        book_.finished(*owner, sample, now);
+        registry_.finished(*owner, sample, now);
 }
 
 void RouterState::cacheChanged(const CacheEvent &event, TimePoint now)
 {
-    const auto owner = book_.find(event.group_);
+    const auto owner = registry_.find(event.group_);
     if (!owner)
         return;
-    GroupState &state = book_.state(*owner);
+    GroupState &state = registry_.state(*owner);
     if (event.generation_ < state.generation_)
         return;
-    book_.formed(*owner, event.generation_, now);
-    if (state.cacheSequence_ && event.sequence_ <= *state.cacheSequence_)
+    registry_.observeGeneration(*owner, event.generation_, now);
+    if (state.lastCacheSequence_ && event.sequence_ <= *state.lastCacheSequence_)
         return;
-    const bool hasGap = state.cacheSequence_ && event.sequence_ != *state.cacheSequence_ + 1;
-    state.cacheSequence_ = event.sequence_;
+    const bool hasGap
+        = state.lastCacheSequence_ && event.sequence_ != *state.lastCacheSequence_ + 1;
+    state.lastCacheSequence_ = event.sequence_;
     if (hasGap)
-        index_.distrustBefore(*owner, now - policy_.gapTrust_);
+        index_.invalidateBefore(*owner, now - policy_.eventGapRetention_);
     switch (event.kind_) {
     case CacheEventKind::Stored:
         index_.add(event.blocks_, *owner, now);
@@ -366,15 +370,15 @@
         index_.remove(event.blocks_, *owner);
         return;
     case CacheEventKind::Cleared:
-        index_.distrustBefore(*owner, now);
+        index_.invalidateBefore(*owner, now);
         return;
     }
 }
 
 std::uint32_t RouterState::inFlight(const GroupId &group) const
 {
-    const auto owner = book_.find(group);
-    return owner ? book_.inFlight(*owner) : 0;
+    const auto owner = registry_.find(group);
+    return owner ? registry_.inFlight(*owner) : 0;
 }
 
 } // namespace cardamombay::routing::impl
--- a/src/routing/router_state.hpp
+++ b/src/routing/router_state.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief State and steps of the router.
+/// \brief Implementation of the router.
 #pragma once
 
-#include "routing/group_book.hpp"
+#include "routing/group_registry.hpp"
 #include "routing/service_view.hpp"
 
 #include <cardamombay/core/random.hpp>
@@ -30,14 +30,14 @@
     [[nodiscard]] std::uint32_t inFlight(const GroupId &group) const;
 
 private:
-    /// \brief One step of a request: prefill, decode, or both.
-    struct Step
+    /// \brief Phase of a request: prefill, decode, or both.
+    struct Phase
     {
         endpoint::GroupRole role_ = endpoint::GroupRole::Mixed;
-        const FabricDomain *near_ = nullptr; ///< Preferred fabric domain.
+        const FabricDomain *preferredDomain_ = nullptr; ///< Null if none.
     };
-    /// \brief What weighing the groups gave; loads are kept in loads_.
-    struct Weighed
+    /// \brief Mean and minimums of the values in loads_.
+    struct LoadSummary
     {
         double mean_ = 0;
         double leastLocal_ = 0;
@@ -46,42 +46,44 @@
 
     [[nodiscard]] const ServiceView *viewOf(const RoutingSnapshot &snapshot,
                                             const ServiceName &service, TimePoint now);
-    void dropViews(const RoutingSnapshot &snapshot, TimePoint now);
+    void resetViews(const RoutingSnapshot &snapshot, TimePoint now);
     void markExcluded(const ServiceView &view, std::span<const GroupId> excluded);
     [[nodiscard]] RouteDecision pick(const ServiceView &view, const RouteRequest &request,
-                                     const Step &step, TimePoint now);
-    [[nodiscard]] bool mayTake(const GroupView &entry, std::size_t position,
-                               const RouteRequest &request, const Step &step, TimePoint now,
-                               SkippedGroups &passedOver) const;
-    void weigh(const ServiceView &view, const RouteRequest &request, const Step &step,
-               TimePoint now, RouteDecision &decision, bool takesEjected);
+                                     const Phase &phase, TimePoint now);
+    [[nodiscard]] bool isEligible(const GroupView &entry, std::size_t position,
+                                  const RouteRequest &request, const Phase &phase, TimePoint now,
+                                  SkippedGroups &skipped) const;
+    void computeLoads(const ServiceView &view, const RouteRequest &request, const Phase &phase,
+                      TimePoint now, RouteDecision &decision, bool includesEjected);
     [[nodiscard]] bool pickByPrefix(const ServiceView &view, const RouteRequest &request,
-                                    const Weighed &weighed, TimePoint now, RouteDecision &decision);
+                                    const LoadSummary &summary, TimePoint now,
+                                    RouteDecision &decision);
     [[nodiscard]] bool pickHolderAt(const ServiceView &view, std::uint64_t block, std::size_t depth,
                                     double limit, TimePoint now, RouteDecision &decision) const;
-    [[nodiscard]] bool pickHome(const ServiceView &view, std::uint64_t anchor, double limit,
+    [[nodiscard]] bool pickHome(const ServiceView &view, std::uint64_t homeHash, double limit,
                                 RouteDecision &decision) const;
     [[nodiscard]] double affinityLoad(const ServiceView &view, std::size_t position) const;
-    void pickBetterOfTwo(const ServiceView &view, const Weighed &weighed, RouteDecision &decision);
-    [[nodiscard]] Weighed summarize() const;
-    [[nodiscard]] const std::vector<std::uint32_t> &pool(const Weighed &weighed);
+    void pickBetterOfTwo(const ServiceView &view, const LoadSummary &summary,
+                         RouteDecision &decision);
+    [[nodiscard]] LoadSummary summarizeLoads() const;
+    [[nodiscard]] const std::vector<std::uint32_t> &candidatePool(const LoadSummary &summary);
 
     RouterPolicy policy_;
     Random random_;
     PrefixIndex index_;
-    GroupBook book_;
+    GroupRegistry registry_;
 
-    const RoutingSnapshot *viewed_ = nullptr; ///< Compared only, never read.
+    const RoutingSnapshot *viewedSnapshot_ = nullptr; ///< Compared only, never read.
     std::uint64_t viewedSequence_ = 0;
     TimePoint viewedAt_{};
     std::unordered_map<ServiceName, ServiceView> views_;
 
-    /// \name Scratch of one decision, kept to spare allocations
+    /// \name Buffers of one decision, reused to avoid allocations
     /// \{
-    std::vector<double> loads_;          ///< By position; negative marks a group passed over.
-    std::vector<std::uint32_t> locals_;  ///< Positions that may be taken, in the own zone.
-    std::vector<std::uint32_t> remotes_; ///< The same, in other zones.
-    std::vector<std::uint32_t> all_;
+    std::vector<double> loads_;                  ///< By position; negative for a skipped group.
+    std::vector<std::uint32_t> localPositions_;  ///< Eligible positions in this router's zone.
+    std::vector<std::uint32_t> remotePositions_; ///< Eligible positions in other zones.
+    std::vector<std::uint32_t> allPositions_;
     std::vector<std::uint8_t> isExcluded_; ///< By position.
     /// \}
 };
--- a/src/routing/service_view.cpp
+++ b/src/routing/service_view.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint32_t probationSamples = 2;
-constexpr std::uint32_t maxDoublings = 4;
+constexpr std::uint32_t maximumDoublings = 4;
 
 [[nodiscard]] bool isModelService(const RoutingSnapshot &snapshot, const ServiceName &name)
 {
@@ -18,23 +18,23 @@
     return declared && declared->kind_ == config::ServiceKind::Model;
 }
 
-/// \brief Requests of others at the group: the report less the own requests of that time, or the
-/// peers' digests if they say more.
-[[nodiscard]] double othersAt(const SnapshotGroup &group, const GroupState &state)
+/// \brief Requests of other entry VMs at the group: the reported load minus this router's requests
+/// at the time of the report, or the peers' digests if higher.
+[[nodiscard]] double otherInFlight(const SnapshotGroup &group, const GroupState &state)
 {
     const double reported = double(group.load_.running_) + double(group.load_.queued_);
-    const double ownThen = state.ownInFlight_.at(group.loadTakenAt_);
-    return std::max(reported - ownThen, double(group.peerInFlight_));
+    const double ownAtReport = state.ownInFlight_.at(group.loadTakenAt_);
+    return std::max(reported - ownAtReport, double(group.peerInFlight_));
 }
 
-[[nodiscard]] double medianAnswerTime(const ServiceView &view, const RouterPolicy &policy,
-                                      GroupBook &book)
+[[nodiscard]] double medianResponseTime(const ServiceView &view, const RouterPolicy &policy,
+                                        GroupRegistry &registry)
 {
     std::vector<double> times;
     for (const GroupView &entry : view.groups_) {
-        const GroupState &state = book.state(entry.owner_);
+        const GroupState &state = registry.state(entry.owner_);
         if (state.samples_ >= policy.stragglerSamples_)
-            times.push_back(state.answerTime_);
+            times.push_back(state.meanResponseSeconds_);
     }
     if (times.size() < 3)
         return 0;
@@ -45,25 +45,25 @@
 
 [[nodiscard]] bool isSlow(const GroupState &state, double median, const RouterPolicy &policy)
 {
-    const double minimum = toSeconds(policy.stragglerMinimum_);
-    return state.answerTime_ > std::max(policy.stragglerRatio_ * median, minimum);
+    const double minimum = toSeconds(policy.stragglerMinimumTime_);
+    return state.meanResponseSeconds_ > std::max(policy.stragglerRatio_ * median, minimum);
 }
 
-/// \brief Ejects a slow group for a time that doubles while it stays slow. A group that comes back
-/// needs few samples to be ejected again, and many to be forgiven.
-void updateOwnEjection(GroupState &state, double median, const RouterPolicy &policy, TimePoint now)
+/// \brief Ejects a slow group for a time that doubles while it stays slow. A returning group is
+/// ejected again after few samples, and its ejection time is reset only after many.
+void updateEjection(GroupState &state, double median, const RouterPolicy &policy, TimePoint now)
 {
-    const bool isOnProbation = state.ejections_ > 0;
+    const bool isOnProbation = state.consecutiveEjections_ > 0;
     const std::uint32_t needed = isOnProbation ? probationSamples : policy.stragglerSamples_;
     if (median <= 0 || now < state.ejectedUntil_ || state.samples_ < needed)
         return;
     if (isSlow(state, median, policy)) {
-        const auto doublings = std::min(state.ejections_, maxDoublings);
+        const auto doublings = std::min(state.consecutiveEjections_, maximumDoublings);
         state.ejectedUntil_ = now + policy.ejectionTime_ * (1U << doublings);
         state.samples_ = 0;
-        ++state.ejections_;
+        ++state.consecutiveEjections_;
     } else if (state.samples_ >= policy.stragglerSamples_) {
-        state.ejections_ = 0;
+        state.consecutiveEjections_ = 0;
     }
 }
 
@@ -77,7 +77,7 @@
 }
 
 ServiceView makeServiceView(const RoutingSnapshot &snapshot, const SnapshotService &service,
-                            const RouterPolicy &policy, GroupBook &book, TimePoint now)
+                            const RouterPolicy &policy, GroupRegistry &registry, TimePoint now)
 {
     ServiceView view;
     view.service_ = service.service_;
@@ -86,17 +86,17 @@
     bool hasPrefill = false;
     bool hasDecode = false;
     for (const SnapshotGroup &group : service.groups_) {
-        const OwnerIndex owner = book.indexOf(group.group_);
-        GroupState &state = book.state(owner);
-        state.seenAt_ = now;
+        const OwnerIndex owner = registry.findOrAdd(group.group_);
+        GroupState &state = registry.state(owner);
+        state.lastSeenAt_ = now;
         state.streamsTokens_ = streamsTokens;
-        book.formed(owner, group.generation_, now);
+        registry.observeGeneration(owner, group.generation_, now);
         GroupView entry;
         entry.group_ = &group;
         entry.owner_ = owner;
         entry.hash_ = stableHash(group.group_.text());
-        entry.othersLoad_ = othersAt(group, state);
-        entry.perCapacity_ = 1.0 / std::max(group.capacity_, 1U);
+        entry.otherInFlight_ = otherInFlight(group, state);
+        entry.inverseCapacity_ = 1.0 / std::max(group.capacity_, 1U);
         entry.freshUntil_ = group.freshUntil_;
         entry.role_ = group.role_;
         entry.isVetoed_ = group.isVetoed_;
@@ -108,14 +108,15 @@
             view.positionOf_.resize(owner + 1, 0);
         view.positionOf_[owner] = static_cast<std::uint32_t>(view.groups_.size());
     }
-    view.hasPairs_ = hasPrefill && hasDecode;
-    ejectStragglers(view, policy, book, now);
+    view.isDisaggregated_ = hasPrefill && hasDecode;
+    ejectStragglers(view, policy, registry, now);
     return view;
 }
 
-void ejectStragglers(ServiceView &view, const RouterPolicy &policy, GroupBook &book, TimePoint now)
+void ejectStragglers(ServiceView &view, const RouterPolicy &policy, GroupRegistry &registry,
+                     TimePoint now)
 {
-    const double median = medianAnswerTime(view, policy, book);
+    const double median = medianResponseTime(view, policy, registry);
     std::vector<GroupView *> slow;
     double usable = 0;
     for (GroupView &entry : view.groups_) {
@@ -123,19 +124,20 @@
         if (!entry.group_->isUsable(now))
             continue;
         usable += entry.group_->capacity_;
-        GroupState &state = book.state(entry.owner_);
-        updateOwnEjection(state, median, policy, now);
+        GroupState &state = registry.state(entry.owner_);
+        updateEjection(state, median, policy, now);
         if (entry.group_->isStraggler_ || now < state.ejectedUntil_)
             slow.push_back(&entry);
     }
     std::stable_sort(slow.begin(), slow.end(), [&](const GroupView *a, const GroupView *b) {
-        return book.state(a->owner_).answerTime_ > book.state(b->owner_).answerTime_;
+        return registry.state(a->owner_).meanResponseSeconds_
+               > registry.state(b->owner_).meanResponseSeconds_;
     });
-    double left = usable;
+    double remaining = usable;
     for (GroupView *entry : slow) {
-        if (left - entry->group_->capacity_ < policy.capacityFloor_ * usable)
+        if (remaining - entry->group_->capacity_ < policy.minimumCapacityShare_ * usable)
             continue;
-        left -= entry->group_->capacity_;
+        remaining -= entry->group_->capacity_;
         entry->isEjected_ = true;
     }
 }
--- a/src/routing/service_view.hpp
+++ b/src/routing/service_view.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief The groups of a service in the form that a decision reads.
+/// \brief The groups of a service, prepared for routing decisions.
 #pragma once
 
-#include "routing/group_book.hpp"
+#include "routing/group_registry.hpp"
 
 #include <cardamombay/routing/router_policy.hpp>
 #include <cardamombay/routing/routing_snapshot.hpp>
@@ -13,14 +13,14 @@
 
 namespace cardamombay::routing::impl {
 
-/// \brief One group; what a decision needs, without the snapshot's texts.
+/// \brief The data of one group that a decision reads, without the strings of the snapshot.
 struct GroupView
 {
     const SnapshotGroup *group_ = nullptr;
     OwnerIndex owner_ = 0;
-    std::uint64_t hash_ = 0; ///< Of the group's identifier; the same on every entry VM.
-    double othersLoad_ = 0;  ///< Requests that other entry VMs have at the group.
-    double perCapacity_ = 1; ///< One over the group's capacity.
+    std::uint64_t hash_ = 0;     ///< Hash of the group's identifier, the same on every entry VM.
+    double otherInFlight_ = 0;   ///< Requests in flight from other entry VMs.
+    double inverseCapacity_ = 1; ///< 1 / capacity of the group.
     TimePoint freshUntil_{};
     endpoint::GroupRole role_ = endpoint::GroupRole::Mixed;
     bool isVetoed_ = false;
@@ -33,20 +33,22 @@
 {
     ServiceName service_;
     std::vector<GroupView> groups_;
-    std::vector<std::uint32_t> positionOf_; ///< Index in groups_ plus one, by owner; zero is none.
-    bool hasPairs_ = false;                 ///< Has groups to prefill and groups to decode.
+    std::vector<std::uint32_t> positionOf_; ///< Index in groups_ plus one, by owner; zero if none.
+    bool isDisaggregated_ = false;          ///< Has both prefill and decode groups.
 
     /// \brief Index in groups_ of the group with that owner index.
     [[nodiscard]] std::optional<std::size_t> position(OwnerIndex owner) const;
 };
 
-/// \brief Reads \p service into a view and notes in \p book what it shows of each group.
+/// \brief Builds the view of \p service and updates \p registry from it.
 [[nodiscard]] ServiceView makeServiceView(const RoutingSnapshot &snapshot,
                                           const SnapshotService &service,
-                                          const RouterPolicy &policy, GroupBook &book,
+                                          const RouterPolicy &policy, GroupRegistry &registry,
                                           TimePoint now);
 
-/// \brief Marks the slow groups of \p view, worst first, while the floor on capacity holds.
-void ejectStragglers(ServiceView &view, const RouterPolicy &policy, GroupBook &book, TimePoint now);
+/// \brief Marks slow groups of \p view as ejected, slowest first, as long as the minimum capacity
+/// remains.
+void ejectStragglers(ServiceView &view, const RouterPolicy &policy, GroupRegistry &registry,
+                     TimePoint now);
 
 } // namespace cardamombay::routing::impl
--- a/tests/routing/cache_events.cpp
+++ b/tests/routing/cache_events.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// \brief A router that has seen the fleet, and events of one group numbered from 1.
-struct Scene
+/// \brief A router that knows the fleet, and a way to send it cache events of one group.
+struct CacheEventHarness
 {
-    Scene() { (void)choose(); }
+    CacheEventHarness() { (void)choose(); }
 
     RouteDecision choose()
     {
@@ -25,14 +25,15 @@
                               fleet_.now_);
     }
 
-    void tell(std::uint64_t sequence, CacheEventKind kind, std::vector<std::uint64_t> blocks = {})
+    void sendEvent(std::uint64_t sequence, CacheEventKind kind,
+                   std::vector<std::uint64_t> blocks = {})
     {
         router_.cacheChanged(
             {fleet_.group(holder_).group_, Generation{}, sequence, kind, std::move(blocks)},
             fleet_.now_);
     }
 
-    [[nodiscard]] bool knowsHolder()
+    [[nodiscard]] bool prefersHolder()
     {
         const auto decision = choose();
         return decision.reason_ == RouteReason::PrefixAffinity
@@ -47,55 +48,55 @@
 
 } // namespace
 
-Test(cache_events, stored_blocks_draw_requests_and_removed_ones_do_not)
+Test(cache_events, stored_blocks_attract_requests_until_they_are_removed)
 {
-    Scene scene;
-    scene.tell(1, CacheEventKind::Stored, scene.hashes_);
-    cr_assert(scene.knowsHolder());
+    CacheEventHarness harness;
+    harness.sendEvent(1, CacheEventKind::Stored, harness.hashes_);
+    cr_assert(harness.prefersHolder());
 
-    scene.tell(2, CacheEventKind::Removed, scene.hashes_);
+    harness.sendEvent(2, CacheEventKind::Removed, harness.hashes_);
 
-    cr_assert_not(scene.knowsHolder());
+    cr_assert_not(harness.prefersHolder());
 }
 
-Test(cache_events, gap_ends_trust_in_what_was_known_before)
+Test(cache_events, event_gap_invalidates_older_entries)
 {
-    Scene scene;
-    scene.tell(1, CacheEventKind::Stored, scene.hashes_);
-    scene.fleet_.now_ += seconds(30);
+    CacheEventHarness harness;
+    harness.sendEvent(1, CacheEventKind::Stored, harness.hashes_);
+    harness.fleet_.now_ += seconds(30);
 
-    scene.tell(3, CacheEventKind::Stored, {1, 2, 3});
+    harness.sendEvent(3, CacheEventKind::Stored, {1, 2, 3});
 
-    cr_assert_not(scene.knowsHolder());
+    cr_assert_not(harness.prefersHolder());
 }
 
-Test(cache_events, gap_keeps_what_was_confirmed_just_now)
+Test(cache_events, event_gap_keeps_recent_entries)
 {
-    Scene scene;
-    scene.tell(1, CacheEventKind::Stored, scene.hashes_);
-    scene.fleet_.now_ += seconds(2);
+    CacheEventHarness harness;
+    harness.sendEvent(1, CacheEventKind::Stored, harness.hashes_);
+    harness.fleet_.now_ += seconds(2);
 
-    scene.tell(3, CacheEventKind::Stored, {1, 2, 3});
+    harness.sendEvent(3, CacheEventKind::Stored, {1, 2, 3});
 
-    cr_assert(scene.knowsHolder());
+    cr_assert(harness.prefersHolder());
 }
 
-Test(cache_events, late_event_changes_nothing)
+Test(cache_events, out_of_order_event_is_ignored)
 {
-    Scene scene;
-    scene.tell(5, CacheEventKind::Stored, scene.hashes_);
+    CacheEventHarness harness;
+    harness.sendEvent(5, CacheEventKind::Stored, harness.hashes_);
 
-    scene.tell(4, CacheEventKind::Removed, scene.hashes_);
+    harness.sendEvent(4, CacheEventKind::Removed, harness.hashes_);
 
-    cr_assert(scene.knowsHolder());
+    cr_assert(harness.prefersHolder());
 }
 
-Test(cache_events, cleared_cache_is_forgotten)
+Test(cache_events, cleared_cache_invalidates_all_entries)
 {
-    Scene scene;
-    scene.tell(1, CacheEventKind::Stored, scene.hashes_);
+    CacheEventHarness harness;
+    harness.sendEvent(1, CacheEventKind::Stored, harness.hashes_);
 
-    scene.tell(2, CacheEventKind::Cleared);
+    harness.sendEvent(2, CacheEventKind::Cleared);
 
-    cr_assert_not(scene.knowsHolder());
+    cr_assert_not(harness.prefersHolder());
 }
--- a/tests/routing/fleet.hpp
+++ b/tests/routing/fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief A snapshot of one service with groups that are all alike.
+/// \brief A snapshot of one service with identical groups.
 #pragma once
 
 #include <cardamombay/routing/routing_snapshot.hpp>
@@ -8,7 +8,7 @@
 
 namespace fixture {
 
-/// \brief Snapshot under construction; publish() gives it a new sequence number.
+/// \brief A mutable snapshot; call publish() after a change to give it a new sequence number.
 struct Fleet
 {
     explicit Fleet(std::size_t groups)
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -35,7 +35,7 @@
     cr_assert(decision.reason_ == RouteReason::UnknownService);
 }
 
-Test(router, silent_group_lapses_without_a_new_snapshot)
+Test(router, group_becomes_stale_without_a_new_snapshot)
 {
     Fleet fleet(1);
     Router router(1);
@@ -49,7 +49,7 @@
     cr_assert(after.reason_ == RouteReason::AllStale);
 }
 
-Test(router, leaving_group_gets_nothing_even_if_it_holds_the_prefix)
+Test(router, vetoed_group_gets_no_request_even_if_it_holds_the_prefix)
 {
     Fleet fleet(2);
     Router router(1);
@@ -65,7 +65,7 @@
     }
 }
 
-Test(router, prefix_goes_back_to_its_group_while_load_is_within_the_slack)
+Test(router, prefix_follows_its_holder_while_load_is_within_the_slack)
 {
     Fleet fleet(20);
     Router router(1);
@@ -83,7 +83,7 @@
     Fleet fleet(4);
     Router router(1);
     const auto hashes = prefixHashes(longPrompt);
-    // Four in flight at each of the others and 8 here are a mean of 5/16 and a load of 8/16.
+    // 4 in flight at each other group and 8 at this one: the mean load is 5/16, this one's 8/16.
     for (std::size_t group = 1; group < 4; ++group) {
         for (int i = 0; i < 4; ++i)
             router.started(fleet.group(group).group_, {}, fleet.now_);
@@ -158,14 +158,14 @@
         router.started(fleet.group(2).group_, {}, fleet.now_);
         router.started(fleet.group(3).group_, {}, fleet.now_);
     }
-    int spilled = 0;
+    int remoteCount = 0;
     for (int i = 0; i < 100; ++i) {
         const auto loaded = router.choose(fleet.snapshot_, requestOf(), fleet.now_);
-        spilled += loaded.group_->zone_ == AvailabilityZone("b");
+        remoteCount += loaded.group_->zone_ == AvailabilityZone("b");
     }
 
     cr_assert(quiet.group_->zone_ == fleet.snapshot_.zone_);
-    cr_assert_gt(spilled, 60);
+    cr_assert_gt(remoteCount, 60);
 }
 
 Test(router, entry_vms_agree_on_the_home_of_a_prefix_they_have_not_seen)
@@ -175,11 +175,11 @@
     Router second(2);
     const auto hashes = prefixHashes(longPrompt);
 
-    const auto one = first.choose(fleet.snapshot_, requestOf(hashes), fleet.now_);
-    const auto other = second.choose(fleet.snapshot_, requestOf(hashes), fleet.now_);
+    const auto firstChoice = first.choose(fleet.snapshot_, requestOf(hashes), fleet.now_);
+    const auto secondChoice = second.choose(fleet.snapshot_, requestOf(hashes), fleet.now_);
 
-    cr_assert(one.reason_ == RouteReason::PrefixHome);
-    cr_assert_eq(one.group_, other.group_);
+    cr_assert(firstChoice.reason_ == RouteReason::PrefixHome);
+    cr_assert_eq(firstChoice.group_, secondChoice.group_);
 }
 
 Test(router, pair_of_groups_is_chosen_where_the_service_splits_prefill_and_decode)
@@ -198,12 +198,14 @@
     const auto whole = router.choose(fleet.snapshot_, requestOf(), fleet.now_);
 
     cr_assert_eq(pair.group_, &fleet.group(0));
-    cr_assert_eq(pair.decodeGroup_, &fleet.group(1), "same fabric domain");
-    cr_assert_eq(whole.group_, &fleet.group(3), "no decode group: one that does both");
+    cr_assert_eq(pair.decodeGroup_, &fleet.group(1),
+                 "expected the decode group in the same fabric domain");
+    cr_assert_eq(whole.group_, &fleet.group(3),
+                 "expected the mixed group, as no decode group is usable");
     cr_assert_null(whole.decodeGroup_);
 }
 
-Test(router, group_formed_anew_is_no_longer_taken_to_hold_the_prefix)
+Test(router, new_generation_invalidates_prefix_entries)
 {
     Fleet fleet(20);
     Router router(1);
--- a/tests/routing/stragglers.cpp
+++ b/tests/routing/stragglers.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Test(stragglers, slow_group_gets_nothing_for_a_time)
+Test(stragglers, slow_group_is_ejected_temporarily)
 {
     Fleet fleet(4);
     Router router(1);
@@ -40,7 +40,7 @@
     for (int i = 0; i < 50; ++i) {
         const auto decision = router.choose(fleet.snapshot_, request(), fleet.now_);
         cr_assert_neq(decision.group_, &fleet.group(2));
-        cr_assert_eq(decision.passedOver_.ejected_, 1);
+        cr_assert_eq(decision.skipped_.ejected_, 1);
     }
     fleet.now_ += seconds(15);
     cr_assert_eq(router.choose(fleet.snapshot_, request(), fleet.now_).usable_, 4);
@@ -59,10 +59,10 @@
     (void)router.choose(fleet.snapshot_, request(), fleet.now_);
     fleet.now_ += seconds(29);
 
-    cr_assert_eq(router.choose(fleet.snapshot_, request(), fleet.now_).passedOver_.ejected_, 1);
+    cr_assert_eq(router.choose(fleet.snapshot_, request(), fleet.now_).skipped_.ejected_, 1);
 }
 
-Test(stragglers, ejection_leaves_the_floor_on_capacity)
+Test(stragglers, ejection_keeps_the_minimum_capacity)
 {
     Fleet fleet(10);
     for (std::size_t group = 0; group < 6; ++group)
@@ -71,11 +71,11 @@
 
     const auto decision = router.choose(fleet.snapshot_, request(), fleet.now_);
 
-    cr_assert_eq(decision.passedOver_.ejected_, 3);
+    cr_assert_eq(decision.skipped_.ejected_, 3);
     cr_assert_eq(decision.usable_, 7);
 }
 
-Test(stragglers, slow_group_is_better_than_none)
+Test(stragglers, ejected_group_is_used_if_no_other_is_left)
 {
     Fleet fleet(4);
     fleet.group(0).isStraggler_ = true;
