--- a/include/cardamombay/limits/limits_policy.hpp
+++ b/include/cardamombay/limits/limits_policy.hpp
@@ -12,7 +12,8 @@
 struct LimitsPolicy
 {
     std::uint32_t queueLimit_ = 256; ///< Queued requests of one team for one service.
-    /// \brief Longest expected wait that is still queued, as a fraction of the queue timeout.
+    /// \brief Longest expected wait of a request of a team that already has its share, as a
+    /// fraction of the queue timeout; requests that would wait longer are refused.
     double maximumWaitFraction_ = 0.6;
     std::uint32_t minimumSlotsPerEntry_ = 1; ///< Slots of every entry VM, whatever its share.
     /// \brief Requests are still queued while the capacity has been zero for less than this.
--- a/include/cardamombay/routing/prefix_hashes.hpp
+++ b/include/cardamombay/routing/prefix_hashes.hpp
@@ -10,8 +10,7 @@
 namespace cardamombay::routing {
 
 inline constexpr std::size_t prefixBlockBytes = 256; ///< About 64 tokens of text.
-inline constexpr std::size_t maxPrefixBlocks
-    = 128; ///< Only the first 32 KB of a prompt are hashed.
+inline constexpr std::size_t maxPrefixBlocks = 128;  ///< 32 KB; the rest is not hashed.
 
 /// \brief Chained hashes of the complete blocks of \p prompt; equal hashes mean equal prefixes.
 /// \param prompt the text that the engine will prefill, as one string.
--- a/include/cardamombay/routing/router.hpp
+++ b/include/cardamombay/routing/router.hpp
@@ -22,10 +22,11 @@
 } // namespace impl
 
 /// \brief Router of one entry VM; not thread-safe.
-/// \details A group that probably holds the prompt's prefix is chosen while its load exceeds the
-/// mean by at most the affinity slack; otherwise the less loaded of two random groups. The load of
-/// a group is the requests of other entry VMs (the lagging load report minus the router's own
-/// requests at that time, or the peers' digests if higher) plus the router's own requests now.
+/// \details A group that probably holds the prompt's prefix, or a home group of the prefix, is
+/// chosen while its load exceeds the mean by at most the affinity slack; otherwise the less loaded
+/// of two random groups. The load of a group is the requests of other entry VMs (the lagging load
+/// report minus the router's own requests at that time, or the peers' digests if higher) plus the
+/// router's own requests now, divided by the group's capacity.
 /// \code
 /// const auto hashes = prefixHashes(prompt);
 /// const auto decision = router.choose(*snapshot, {.service_ = service,
