--- a/src/planning/planning_run.cpp
+++ b/src/planning/planning_run.cpp
@@ -33,8 +33,8 @@
 {
     countSpares();
     countGroups();
-    for (const VmDemand &request : demands())
-        satisfy(request);
+    for (const VmDemand &demand : demands())
+        satisfy(demand);
     endRetiringGroups();
     endSurplusGroups();
     moveLostGroups();
@@ -140,10 +140,10 @@
     }
     for (const PlannedService &service : state_.services_)
         addFreeSlots(service, found);
-    for (VmDemand &request : found) {
-        const auto counts = serviceCounts_.find(request.service_->service_);
+    for (VmDemand &demand : found) {
+        const auto counts = serviceCounts_.find(demand.service_->service_);
         const double serving = counts == serviceCounts_.end() ? 0 : counts->second.serving_;
-        request.servingShare_ = serving / std::max<std::uint32_t>(request.service_->replicas_, 1);
+        demand.servingShare_ = serving / std::max<std::uint32_t>(demand.service_->replicas_, 1);
     }
     std::stable_sort(found.begin(), found.end(), [](const VmDemand &one, const VmDemand &other) {
         if (one.service_->priority_ != other.service_->priority_)
@@ -179,30 +179,30 @@
         found.push_back({&service, nullptr, slot, 0});
 }
 
-void PlanningRun::satisfy(const VmDemand &request)
+void PlanningRun::satisfy(const VmDemand &demand)
 {
-    if (decided_.contains(request.slot_))
+    if (decided_.contains(demand.slot_))
         return;
-    if (request.broken_ == nullptr)
-        formSlot(request);
-    else if (lostMembers(*request.broken_).empty())
-        reform(*request.broken_);
+    if (demand.broken_ == nullptr)
+        formSlot(demand);
+    else if (lostMembers(*demand.broken_).empty())
+        reform(*demand.broken_);
     else
-        repair(request);
+        repair(demand);
 }
 
-void PlanningRun::formSlot(const VmDemand &request)
+void PlanningRun::formSlot(const VmDemand &demand)
 {
-    const std::size_t wanted = request.service_->vmsPerReplica_;
+    const std::size_t wanted = demand.service_->vmsPerReplica_;
     if (spares_.size() < wanted) {
-        if (shouldPreempt(request, wanted))
-            preemptGroups(request, wanted);
+        if (shouldPreempt(demand, wanted))
+            preemptGroups(demand, wanted);
         return;
     }
     PlanDecision decision;
     decision.action_ = PlanAction::Form;
-    decision.group_ = request.slot_;
-    decision.service_ = request.service_->service_;
+    decision.group_ = demand.slot_;
+    decision.service_ = demand.service_->service_;
     decision.inputs_.push_back({"spares", std::to_string(spares_.size())});
     decision.members_ = takeSpares(wanted);
     decision.reason_ = "capacity-declared";
--- a/src/planning/planning_run.hpp
+++ b/src/planning/planning_run.hpp
@@ -56,16 +56,16 @@
     /// \{
     [[nodiscard]] std::vector<VmDemand> demands() const;
     void addFreeSlots(const PlannedService &service, std::vector<VmDemand> &found) const;
-    void satisfy(const VmDemand &request);
-    void formSlot(const VmDemand &request);
-    void repair(const VmDemand &request);
+    void satisfy(const VmDemand &demand);
+    void formSlot(const VmDemand &demand);
+    void repair(const VmDemand &demand);
     void reform(const PlannedGroup &group);
-    void addRepair(RepairStrategy strategy, const VmDemand &request, PlanDecision decision);
-    [[nodiscard]] RepairCase repairCase(const VmDemand &request) const;
-    [[nodiscard]] const PlannedGroup *mergePartner(const VmDemand &request,
+    void addRepair(RepairStrategy strategy, const VmDemand &demand, PlanDecision decision);
+    [[nodiscard]] RepairCase repairCase(const VmDemand &demand) const;
+    [[nodiscard]] const PlannedGroup *mergePartner(const VmDemand &demand,
                                                    std::size_t missing) const;
-    [[nodiscard]] bool shouldPreempt(const VmDemand &request, std::size_t missing) const;
-    void preemptGroups(const VmDemand &request, std::size_t missing);
+    [[nodiscard]] bool shouldPreempt(const VmDemand &demand, std::size_t missing) const;
+    void preemptGroups(const VmDemand &demand, std::size_t missing);
     /// \}
 
     /// \name Retirement of groups
--- a/src/planning/repairs.cpp
+++ b/src/planning/repairs.cpp
@@ -29,41 +29,41 @@
 
 } // namespace
 
-void PlanningRun::repair(const VmDemand &request)
+void PlanningRun::repair(const VmDemand &demand)
 {
-    const auto lost = lostMembers(*request.broken_);
+    const auto lost = lostMembers(*demand.broken_);
     if (shortestLoss(lost) < state_.policy_.replaceGrace_)
         return;
     PlanDecision decision;
-    decision.group_ = request.slot_;
-    decision.service_ = request.service_->service_;
+    decision.group_ = demand.slot_;
+    decision.service_ = demand.service_->service_;
     decision.reason_ = "member-lost";
     decision.inputs_.push_back({"missing", std::to_string(lost.size())});
     decision.inputs_.push_back({"spares", std::to_string(spares_.size())});
     decision.inputs_.push_back({"lost-for-ms", std::to_string(toMilliseconds(shortestLoss(lost)))});
-    const auto estimates = estimateRepairs(repairCase(request), state_.policy_);
+    const auto estimates = estimateRepairs(repairCase(demand), state_.policy_);
     for (const RepairEstimate &estimate : estimates)
         decision.alternatives_.push_back({std::string(nameOf(estimate.strategy_)), estimate.cost_});
-    addRepair(policy_.choose(estimates), request, std::move(decision));
+    addRepair(policy_.choose(estimates), demand, std::move(decision));
 }
 
-RepairCase PlanningRun::repairCase(const VmDemand &request) const
+RepairCase PlanningRun::repairCase(const VmDemand &demand) const
 {
-    const PlannedGroup &group = *request.broken_;
+    const PlannedGroup &group = *demand.broken_;
     const ReturnModel model(state_.policy_);
     const auto lost = lostMembers(group);
     RepairCase repair;
     repair.missing_ = static_cast<std::uint32_t>(lost.size());
     repair.survivors_ = static_cast<std::uint32_t>(group.members_.size() - lost.size());
-    repair.loadTime_ = request.service_->loadTime_;
+    repair.loadTime_ = demand.service_->loadTime_;
     repair.returnEstimate_ = repair.survivors_ == 0 ? model.commonCause(shortestLoss(lost))
                                                     : model.independent(lostDurations(lost));
     repair.canReplace_ = spares_.size() >= lost.size();
     if (repair.canReplace_)
         return repair;
     repair.canVacate_
-        = repair.survivors_ > 0 && hasSparesElsewhere(request.service_->vmsPerReplica_);
-    const PlannedGroup *partner = mergePartner(request, lost.size());
+        = repair.survivors_ > 0 && hasSparesElsewhere(demand.service_->vmsPerReplica_);
+    const PlannedGroup *partner = mergePartner(demand, lost.size());
     if (partner == nullptr || spares_.size() + incomingSpares_ >= lost.size())
         return repair;
     const auto otherLost = lostMembers(*partner);
@@ -77,7 +77,7 @@
 
 /// The broken group of the domain, of the same or lower priority, with the fewest survivors that
 /// are enough to replace the missing members; null if there is none.
-const PlannedGroup *PlanningRun::mergePartner(const VmDemand &request, std::size_t missing) const
+const PlannedGroup *PlanningRun::mergePartner(const VmDemand &demand, std::size_t missing) const
 {
     const PlannedGroup *best = nullptr;
     std::size_t bestSurvivors = 0;
@@ -86,9 +86,9 @@
         const auto lost = lostMembers(group);
         const std::size_t survivors = group.members_.size() - lost.size();
         const bool isCandidate = isOwn(group) && group.phase_ == GroupPhase::Degraded
-                                 && !group.isBusy_ && &group != request.broken_ && !lost.empty()
+                                 && !group.isBusy_ && &group != demand.broken_ && !lost.empty()
                                  && service != nullptr
-                                 && service->priority_ <= request.service_->priority_
+                                 && service->priority_ <= demand.service_->priority_
                                  && !decided_.contains(group.group_)
                                  && shortestLoss(lost) >= state_.policy_.replaceGrace_;
         if (!isCandidate || survivors < missing)
@@ -101,19 +101,19 @@
     return best;
 }
 
-void PlanningRun::addRepair(RepairStrategy strategy, const VmDemand &request, PlanDecision decision)
+void PlanningRun::addRepair(RepairStrategy strategy, const VmDemand &demand, PlanDecision decision)
 {
-    const std::size_t missing = lostMembers(*request.broken_).size();
+    const std::size_t missing = lostMembers(*demand.broken_).size();
     switch (strategy) {
     case RepairStrategy::Wait:
         decision.action_ = PlanAction::Wait;
         add(std::move(decision));
-        if (shouldPreempt(request, missing))
-            preemptGroups(request, missing);
+        if (shouldPreempt(demand, missing))
+            preemptGroups(demand, missing);
         return;
     case RepairStrategy::Replace:
         decision.action_ = PlanAction::Replace;
-        decision.members_ = membersWithSpares(*request.broken_);
+        decision.members_ = membersWithSpares(*demand.broken_);
         add(std::move(decision));
         return;
     case RepairStrategy::Vacate:
@@ -122,7 +122,7 @@
         add(std::move(decision));
         return;
     case RepairStrategy::Merge: {
-        const PlannedGroup *partner = mergePartner(request, missing);
+        const PlannedGroup *partner = mergePartner(demand, missing);
         decision.action_ = PlanAction::Wait;
         decision.reason_ = "merging";
         decision.inputs_.push_back({"partner", partner->group_.text()});
@@ -146,19 +146,18 @@
     return members;
 }
 
-/// True if groups of lower priority should be preempted for \p request. For a free slot only one
+/// True if groups of lower priority should be preempted for \p demand. For a free slot only one
 /// domain does so: of those with such groups, the one with the highest rendezvous weight.
-bool PlanningRun::shouldPreempt(const VmDemand &request, std::size_t missing) const
+bool PlanningRun::shouldPreempt(const VmDemand &demand, std::size_t missing) const
 {
     if (spares_.size() + incomingSpares_ >= missing
-        || hasSparesElsewhere(request.service_->vmsPerReplica_))
+        || hasSparesElsewhere(demand.service_->vmsPerReplica_))
         return false;
     std::size_t available = spares_.size() + incomingSpares_;
     std::set<FabricDomain> victims;
     for (const PlannedGroup &group : state_.groups_) {
         const PlannedService *service = state_.service(group.service_);
-        const bool isVictim
-            = service != nullptr && service->priority_ < request.service_->priority_;
+        const bool isVictim = service != nullptr && service->priority_ < demand.service_->priority_;
         if (!isVictim)
             continue;
         victims.insert(group.domain_);
@@ -167,23 +166,23 @@
     }
     if (available < missing)
         return false;
-    if (request.broken_ != nullptr)
+    if (demand.broken_ != nullptr)
         return true;
     const auto first = std::max_element(
         victims.begin(), victims.end(), [&](const FabricDomain &one, const FabricDomain &other) {
-            return rendezvousWeight(request.slot_.text(), one.text())
-                   < rendezvousWeight(request.slot_.text(), other.text());
+            return rendezvousWeight(demand.slot_.text(), one.text())
+                   < rendezvousWeight(demand.slot_.text(), other.text());
         });
     return first != victims.end() && *first == state_.domain_;
 }
 
-void PlanningRun::preemptGroups(const VmDemand &request, std::size_t missing)
+void PlanningRun::preemptGroups(const VmDemand &demand, std::size_t missing)
 {
     std::vector<const PlannedGroup *> victims;
     for (const PlannedGroup &group : state_.groups_) {
         const PlannedService *service = state_.service(group.service_);
         const bool isVictim = isOwn(group) && !group.isBusy_ && service != nullptr
-                              && service->priority_ < request.service_->priority_
+                              && service->priority_ < demand.service_->priority_
                               && group.phase_ != GroupPhase::Draining
                               && group.phase_ != GroupPhase::Dissolving
                               && !decided_.contains(group.group_);
