--- a/tests/regressions/regressions.cpp
+++ b/tests/regressions/regressions.cpp
@@ -66,7 +66,7 @@
         : store_(fleet_.platform_)
         , orders_(fleet_.endpoints_)
         , view_(fleet_.clock_, orders_, fleet_.vms_, fleet_.leaving_)
-        , loadTracker_(fleet_.clock_, store_, Random(7))
+        , groupCache_(fleet_.clock_, store_, Random(7))
     {
         settings_.self_ = EntryId("entry");
         settings_.incarnation_ = Incarnation(1);
@@ -81,14 +81,14 @@
         const auto owned = std::make_unique<control::NodeCharts>(valueOf(charts));
         planner_ = std::make_unique<control::ZonePlanner>(fleet_.clock_, store_, orders_, log_,
                                                           settings_, *owned);
-        loadTracker_.start();
+        groupCache_.start();
     }
 
     void run(Duration time)
     {
         constexpr auto step = std::chrono::milliseconds(500);
         for (Duration passed{}; passed < time; passed += step) {
-            planner_->tick({fleet_.configuration_, fleet_.vms_, alive_, &view_, &loadTracker_});
+            planner_->tick({fleet_.configuration_, fleet_.vms_, alive_, &view_, &groupCache_});
             fleet_.clock_.advance(step);
         }
     }
@@ -100,7 +100,7 @@
     support::FakeTableStore store_;
     support::FakeEndpointOrders orders_;
     support::PollingView view_;
-    groups::GroupCache loadTracker_;
+    groups::GroupCache groupCache_;
     DecisionLog log_;
     control::ControlSettings settings_;
     std::vector<membership::MemberEntry> alive_;
