--- a/bench/claims.cpp
+++ b/bench/claims.cpp
@@ -2,7 +2,7 @@
 // clock. Prints one line for each case.
 #include "support/fake_store.hpp"
 
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/core/manual_clock.hpp>
 
 #include <algorithm>
@@ -40,9 +40,9 @@
         for (std::size_t i = 0; i < setup.entries_; ++i) {
             tables_.push_back(std::make_unique<support::FakeTableStore>(platform_));
             randoms_.push_back(std::make_unique<Random>(i + 1));
-            books_.push_back(std::make_unique<ClaimBook>(
-                ClaimBook::Setting{clock_, *tables_[i], objects_, *randoms_[i], program,
-                                   EntryId("e" + std::to_string(i)), Incarnation(1)},
+            books_.push_back(std::make_unique<ClaimRegistry>(
+                ClaimRegistry::Dependencies{clock_, *tables_[i], objects_, *randoms_[i], program,
+                                            EntryId("e" + std::to_string(i)), Incarnation(1)},
                 ClaimPolicy{}, setup.batches_));
             books_[i]->setEntryCount(static_cast<std::uint32_t>(setup.entries_));
         }
@@ -79,7 +79,7 @@
             [this, &book, start](const Result<ClaimAnswer> &answer) { take(book, start, answer); });
     }
 
-    void take(ClaimBook &book, TimePoint start, const Result<ClaimAnswer> &answer)
+    void take(ClaimRegistry &book, TimePoint start, const Result<ClaimAnswer> &answer)
     {
         const std::chrono::duration<double, std::milli> waited = clock_.now() - start;
         if (!isOk(answer)) {
@@ -136,7 +136,7 @@
     Random random_{42};
     std::vector<std::unique_ptr<support::FakeTableStore>> tables_;
     std::vector<std::unique_ptr<Random>> randoms_;
-    std::vector<std::unique_ptr<ClaimBook>> books_;
+    std::vector<std::unique_ptr<ClaimRegistry>> books_;
     std::vector<double> waits_;
     std::uint64_t keys_ = 0;
     std::uint64_t offered_ = 0;
@@ -149,9 +149,9 @@
     BatchPolicy policy;
     policy.writesPerSecond_ = 1e9;
     policy.burst_ = 1e9;
-    policy.rows_ = 1;
+    policy.maxRows_ = 1;
     policy.inFlight_ = 1U << 20U;
-    policy.gatherDelay_ = Duration::zero();
+    policy.batchDelay_ = Duration::zero();
     return policy;
 }
 
--- a/include/cardamombay/cardamombay.hpp
+++ b/include/cardamombay/cardamombay.hpp
@@ -26,8 +26,8 @@
 #include <cardamombay/chart/machine.hpp>
 
 #include <cardamombay/claims/claim.hpp>
-#include <cardamombay/claims/claim_book.hpp>
 #include <cardamombay/claims/claim_expiry.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/claims/claim_row.hpp>
 #include <cardamombay/claims/row_batcher.hpp>
 
--- a/include/cardamombay/claims/claim.hpp
+++ b/include/cardamombay/claims/claim.hpp
@@ -1,7 +1,7 @@
 /// \file
 /// \brief Requests, answers and settings of claims.
-/// \details Typed messages only; ClaimBook decides. They carry the promise that a non-idempotent
-/// request with a key is handed over once at most.
+/// \details Typed messages only; ClaimRegistry decides. They carry the promise that a
+/// non-idempotent request with a key is handed over once at most.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
--- a/include/cardamombay/claims/claim_book.hpp
+++ b/include/cardamombay/claims/claim_registry.hpp
@@ -48,11 +48,11 @@
 ///     // Granted: hand over if mayHandOver(now), then complete() or release().
 /// });
 /// \endcode
-class ClaimBook
+class ClaimRegistry
 {
 public:
     /// \brief Where the book runs and whom it claims for.
-    struct Setting
+    struct Dependencies
     {
         Clock &clock_;
         platform::TableStore &table_;
@@ -63,10 +63,10 @@
         Incarnation incarnation_; ///< Must differ between two starts of one entry VM.
     };
 
-    explicit ClaimBook(Setting setting, ClaimPolicy policy = {}, BatchPolicy batches = {});
-    ~ClaimBook();
-    ClaimBook(const ClaimBook &) = delete;
-    ClaimBook &operator=(const ClaimBook &) = delete;
+    explicit ClaimRegistry(Dependencies setting, ClaimPolicy policy = {}, BatchPolicy batches = {});
+    ~ClaimRegistry();
+    ClaimRegistry(const ClaimRegistry &) = delete;
+    ClaimRegistry &operator=(const ClaimRegistry &) = delete;
 
     /// \brief Claims the key of \p request.
     /// \param request the request and its key.
@@ -108,7 +108,7 @@
     void finish(ClaimRecord &record);
     [[nodiscard]] RecordPtr find(ClaimNumber claim) const;
 
-    Setting setting_;
+    Dependencies setting_;
     ClaimPolicy policy_;
     RowBatcher batcher_;
     const EntryLiveness *liveness_ = nullptr;
--- a/include/cardamombay/claims/row_batcher.hpp
+++ b/include/cardamombay/claims/row_batcher.hpp
@@ -36,13 +36,13 @@
 };
 
 /// \brief The condition failed; nothing was written. The row found has no version if it is gone.
-struct RowTaken
+struct RowConflict
 {
     platform::Row row_;
 };
 
 /// \brief Result of a change. Of the errors only StoreAnswerLost may stand for an effect.
-using RowChangeResult = std::variant<RowWritten, RowTaken, Error>;
+using RowChangeResult = std::variant<RowWritten, RowConflict, Error>;
 
 /// \brief Receives the result of a change.
 using RowChangeCallback = std::function<void(RowChangeResult)>;
@@ -52,9 +52,9 @@
 {
     double writesPerSecond_ = 200; ///< Transactions of all entry VMs together.
     double burst_ = 10;            ///< Transactions of one entry VM after a quiet time.
-    std::size_t rows_ = 100;       ///< Most changes in a transaction.
+    std::size_t maxRows_ = 100;    ///< Most changes in a transaction.
     std::uint32_t inFlight_ = 2;   ///< Transactions of one entry VM at once.
-    Duration gatherDelay_ = std::chrono::milliseconds(2); ///< Wait for company of a first change.
+    Duration batchDelay_ = std::chrono::milliseconds(2); ///< Wait for company of a first change.
     std::uint32_t conflicts_ = 8; ///< Tries of one change whose conflict cannot be read.
     platform::CommitPolicy commit_{.deadline_ = std::chrono::seconds(2),
                                    .isWriterSoleOwner_ = true};
--- a/include/cardamombay/control/control_node.hpp
+++ b/include/cardamombay/control/control_node.hpp
@@ -5,8 +5,8 @@
 /// that a daemon runs one and a test or bench runs many in one process. Single-threaded.
 #pragma once
 
-#include <cardamombay/claims/claim_book.hpp>
 #include <cardamombay/claims/claim_expiry.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/config/config_agent.hpp>
 #include <cardamombay/config/config_store.hpp>
 #include <cardamombay/control/config_peers.hpp>
@@ -88,7 +88,7 @@
 
     /// \name Parts, for status pages, claims and tests
     /// \{
-    [[nodiscard]] claims::ClaimBook &claims() { return claims_; }
+    [[nodiscard]] claims::ClaimRegistry &claims() { return claims_; }
     [[nodiscard]] config::ConfigAgent &configuration() { return config_; }
     [[nodiscard]] const config::ConfigAgent &configuration() const { return config_; }
     [[nodiscard]] const membership::Membership &membership() const { return membership_; }
@@ -167,7 +167,7 @@
     config::ConfigAgent config_;
     VmListPoller list_;
     ZonePlanner planner_;
-    claims::ClaimBook claims_;
+    claims::ClaimRegistry claims_;
     claims::ClaimExpiry claimExpiry_;
     WatcherView view_;
     MemberLiveness liveness_;
--- a/include/cardamombay/control/node_charts.hpp
+++ b/include/cardamombay/control/node_charts.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include <cardamombay/chart/chart.hpp>
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/config/config_agent.hpp>
 #include <cardamombay/core/result.hpp>
 #include <cardamombay/groups/group_life.hpp>
--- a/include/cardamombay/forward.hpp
+++ b/include/cardamombay/forward.hpp
@@ -60,7 +60,7 @@
 
 /// Claims of keyed, non-idempotent requests in the table service.
 namespace claims {
-class ClaimBook;
+class ClaimRegistry;
 class ClaimExpiry;
 class EntryLiveness;
 class RowBatcher;
@@ -77,7 +77,7 @@
 struct KeyMismatch;
 struct OutcomeUnknown;
 struct RowChange;
-struct RowTaken;
+struct RowConflict;
 struct RowWritten;
 struct StoredOutcome;
 } // namespace claims
@@ -259,7 +259,7 @@
 namespace outcomes {
 class Attempt;
 class StreamContinuity;
-struct AttemptVerdict;
+struct AttemptResult;
 struct CallerMessage;
 struct DroppedAnswers;
 struct RequestSafety;
--- a/include/cardamombay/outcomes/attempt.hpp
+++ b/include/cardamombay/outcomes/attempt.hpp
@@ -44,7 +44,7 @@
 };
 
 /// \brief Result of a settled attempt.
-struct AttemptVerdict
+struct AttemptResult
 {
     Outcome outcome_ = Outcome::Unknown;
     Cause cause_ = Cause::None;
@@ -120,7 +120,7 @@
     [[nodiscard]] Outcome outcome() const;
 
     /// \brief The result; before the attempt is settled, of stopping now.
-    [[nodiscard]] AttemptVerdict verdict() const;
+    [[nodiscard]] AttemptResult verdict() const;
 
     [[nodiscard]] const DroppedAnswers &dropped() const { return dropped_; }
 
--- a/src/claims/claim_record.cpp
+++ b/src/claims/claim_record.cpp
@@ -44,7 +44,7 @@
     return binding;
 }
 
-ClaimRecord::ClaimRecord(ClaimBook &book, ClaimNumber number, ClaimRequest request,
+ClaimRecord::ClaimRecord(ClaimRegistry &book, ClaimNumber number, ClaimRequest request,
                          Callback<ClaimAnswer> done)
     : book_(book)
     , request_(std::move(request))
@@ -115,7 +115,7 @@
     if (const auto *written = std::get_if<RowWritten>(&result)) {
         version_ = written->version_;
         handle("written");
-    } else if (auto *taken = std::get_if<RowTaken>(&result)) {
+    } else if (auto *taken = std::get_if<RowConflict>(&result)) {
         taken_ = std::move(taken->row_);
         handle("taken");
     } else {
--- a/src/claims/claim_record.hpp
+++ b/src/claims/claim_record.hpp
@@ -2,7 +2,7 @@
 /// \brief One claim under way: the data and the actions of charts/claim.toml.
 #pragma once
 
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 
 #include <functional>
 #include <optional>
@@ -23,7 +23,7 @@
 class ClaimRecord : public std::enable_shared_from_this<ClaimRecord>
 {
 public:
-    ClaimRecord(ClaimBook &book, ClaimNumber number, ClaimRequest request,
+    ClaimRecord(ClaimRegistry &book, ClaimNumber number, ClaimRequest request,
                 Callback<ClaimAnswer> done);
 
     static chart::Binding<ClaimRecord> binding();
@@ -64,7 +64,7 @@
 
     void write(RowChange change);
 
-    ClaimBook &book_;
+    ClaimRegistry &book_;
     ClaimRequest request_;
     Callback<ClaimAnswer> done_;
     platform::RowKey key_;
--- a/src/claims/claim_book.cpp
+++ b/src/claims/claim_registry.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 
 #include "claims/claim_record.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace cardamombay::claims {
 
-ClaimBook::ClaimBook(Setting setting, ClaimPolicy policy, BatchPolicy batches)
+ClaimRegistry::ClaimRegistry(Dependencies setting, ClaimPolicy policy, BatchPolicy batches)
     : setting_(std::move(setting))
     , policy_(policy)
     , batcher_(setting_.clock_, setting_.table_, setting_.random_,
@@ -15,9 +15,9 @@
 {
 }
 
-ClaimBook::~ClaimBook() = default;
+ClaimRegistry::~ClaimRegistry() = default;
 
-void ClaimBook::claim(ClaimRequest request, Callback<ClaimAnswer> done)
+void ClaimRegistry::claim(ClaimRequest request, Callback<ClaimAnswer> done)
 {
     const auto key = rowKeyOf(request.team_, request.key_).key_;
     if (const auto found = records_.find(key); found != records_.end()) {
@@ -32,13 +32,13 @@
     record->start();
 }
 
-void ClaimBook::complete(ClaimNumber claim, StoredOutcome stored)
+void ClaimRegistry::complete(ClaimNumber claim, StoredOutcome stored)
 {
     if (const auto record = find(claim))
         record->complete(std::move(stored));
 }
 
-void ClaimBook::release(ClaimNumber claim, std::function<void()> done)
+void ClaimRegistry::release(ClaimNumber claim, std::function<void()> done)
 {
     if (const auto record = find(claim))
         record->release(std::move(done));
@@ -46,15 +46,15 @@
         setting_.clock_.schedule(Duration::zero(), std::move(done));
 }
 
-void ClaimBook::answerLater(Callback<ClaimAnswer> done, Result<ClaimAnswer> answer)
+void ClaimRegistry::answerLater(Callback<ClaimAnswer> done, Result<ClaimAnswer> answer)
 {
     setting_.clock_.schedule(
         Duration::zero(), [done = std::move(done), answer = std::move(answer)] { done(answer); });
 }
 
 /// Answers from a claim of this entry VM that is not done yet.
-void ClaimBook::answerLocal(ClaimRecord &record, const ClaimRequest &request,
-                            Callback<ClaimAnswer> done)
+void ClaimRegistry::answerLocal(ClaimRecord &record, const ClaimRequest &request,
+                                Callback<ClaimAnswer> done)
 {
     if (record.isIn("storing") || record.isIn("held") || record.isIn("claiming")) {
         const bool isSame = record.request().key_ == request.key_
@@ -75,8 +75,8 @@
 }
 
 /// Answers from the row of another claim.
-void ClaimBook::answerRow(const ClaimRequest &request, const platform::Row &row,
-                          const Callback<ClaimAnswer> &done)
+void ClaimRegistry::answerRow(const ClaimRequest &request, const platform::Row &row,
+                              const Callback<ClaimAnswer> &done)
 {
     if (row.version_.isNone()) {
         ++counts_.refused_;
@@ -100,7 +100,7 @@
     }
 }
 
-void ClaimBook::answerStored(ClaimRow row, const Callback<ClaimAnswer> &done)
+void ClaimRegistry::answerStored(ClaimRow row, const Callback<ClaimAnswer> &done)
 {
     ++counts_.duplicates_;
     if (row.objectName_.empty()) {
@@ -117,7 +117,7 @@
                             });
 }
 
-ClaimAnswer ClaimBook::judgeOwner(const ClaimOwner &owner)
+ClaimAnswer ClaimRegistry::judgeOwner(const ClaimOwner &owner)
 {
     const bool isSelf = owner.entry_ == setting_.self_;
     if (!isSelf && liveness_ && liveness_->isAlive(owner.entry_, owner.incarnation_)) {
@@ -128,7 +128,7 @@
     return OutcomeUnknown{};
 }
 
-void ClaimBook::finish(ClaimRecord &record)
+void ClaimRegistry::finish(ClaimRecord &record)
 {
     const auto waiters = record.takeWaiters();
     const auto released = record.takeReleased();
@@ -143,7 +143,7 @@
     }
 }
 
-ClaimBook::RecordPtr ClaimBook::find(ClaimNumber claim) const
+ClaimRegistry::RecordPtr ClaimRegistry::find(ClaimNumber claim) const
 {
     const auto key = keys_.find(claim);
     return key == keys_.end() ? nullptr : records_.at(key->second);
--- a/src/claims/row_batcher.cpp
+++ b/src/claims/row_batcher.cpp
@@ -37,7 +37,7 @@
 {
     urgent_ += change.isUrgent_ ? 1 : 0;
     queue_.push_back(Item{std::move(change), std::move(done)});
-    wake(queue_.size() >= policy_.rows_ ? Duration::zero() : policy_.gatherDelay_);
+    wake(queue_.size() >= policy_.maxRows_ ? Duration::zero() : policy_.batchDelay_);
 }
 
 void RowBatcher::setEntryCount(std::uint32_t count)
@@ -116,7 +116,7 @@
 void RowBatcher::flush()
 {
     auto batch = std::make_shared<std::vector<Item>>();
-    const auto count = std::min(queue_.size(), policy_.rows_);
+    const auto count = std::min(queue_.size(), policy_.maxRows_);
     for (std::size_t i = 0; i < count; ++i) {
         urgent_ -= queue_.front().change_.isUrgent_ ? 1 : 0;
         batch->push_back(std::move(queue_.front()));
@@ -187,9 +187,9 @@
         const bool isReported = change.key_ == RowKey{conflict.table_, conflict.key_};
         const Row *row = find(rows, change.key_);
         if (row && row->version_ > change.expected_)
-            item.done_(RowTaken{*row});
+            item.done_(RowConflict{*row});
         else if (isReported && conflict.found_.isNone())
-            item.done_(RowTaken{Row{change.key_, {}, {}, {}}});
+            item.done_(RowConflict{Row{change.key_, {}, {}, {}}});
         else if (isReported && ++item.conflicts_ >= policy_.conflicts_)
             item.done_(Error(conflict));
         else if (isReported)
--- a/src/control/claim_desk.hpp
+++ b/src/control/claim_desk.hpp
@@ -2,7 +2,7 @@
 /// \brief Carries claims of the traffic side to the claim book.
 #pragma once
 
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/traffic/claim.hpp>
 
 #include <map>
@@ -13,7 +13,7 @@
 class ClaimDesk
 {
 public:
-    explicit ClaimDesk(claims::ClaimBook &book)
+    explicit ClaimDesk(claims::ClaimRegistry &book)
         : book_(book)
     {
     }
@@ -25,7 +25,7 @@
     [[nodiscard]] traffic::ClaimAnswer answerOf(const RequestId &request,
                                                 const Result<claims::ClaimAnswer> &result);
 
-    claims::ClaimBook &book_;
+    claims::ClaimRegistry &book_;
     std::map<RequestId, claims::ClaimNumber> granted_;
 };
 
--- a/src/outcomes/attempt.cpp
+++ b/src/outcomes/attempt.cpp
@@ -120,7 +120,7 @@
     return mayHaveRun ? Outcome::Unknown : Outcome::NotRun;
 }
 
-AttemptVerdict Attempt::verdict() const
+AttemptResult Attempt::verdict() const
 {
     const Outcome present = outcome();
     const bool hasFailed = present == Outcome::Unknown || status_ >= firstServerError;
--- a/src/traffic/session.cpp
+++ b/src/traffic/session.cpp
@@ -228,14 +228,14 @@
     }
 }
 
-bool Session::canResume(const outcomes::AttemptVerdict &verdict) const
+bool Session::canResume(const outcomes::AttemptResult &verdict) const
 {
     const bool hasRunNothing = verdict.outcome_ == outcomes::Outcome::NotRun;
     const auto next = relay_->continuity().continuation(model_, hasRunNothing);
     return next == outcomes::Continuation::Resume;
 }
 
-void Session::decideNext(const outcomes::AttemptVerdict &verdict)
+void Session::decideNext(const outcomes::AttemptResult &verdict)
 {
     tried_.push_back(run_->plan().group_.group_);
     if (!verdict.mayRetry_) {
@@ -260,7 +260,7 @@
     retry(verdict);
 }
 
-void Session::retry(const outcomes::AttemptVerdict &verdict)
+void Session::retry(const outcomes::AttemptResult &verdict)
 {
     retries::FailedAttempt failed;
     failed.service_ = request_.service_;
--- a/src/traffic/session.hpp
+++ b/src/traffic/session.hpp
@@ -49,10 +49,10 @@
     void startAttempt(const routing::SnapshotGroup &group);
     void endWithoutGroup(const RouteChoice &choice);
     void onAttemptOver() override;
-    void decideNext(const outcomes::AttemptVerdict &verdict);
-    void retry(const outcomes::AttemptVerdict &verdict);
+    void decideNext(const outcomes::AttemptResult &verdict);
+    void retry(const outcomes::AttemptResult &verdict);
     void retryLater(Duration delay);
-    void giveUp(const outcomes::AttemptVerdict &verdict, Duration retryAfter);
+    void giveUp(const outcomes::AttemptResult &verdict, Duration retryAfter);
     /// \}
 
     /// \name Events
@@ -68,8 +68,8 @@
     /// \brief Keeps a decision until the end of the session, which tells whether it is recorded.
     void note(std::string_view event, std::string_view choice, std::vector<Detail> inputs);
     void recordDecisions();
-    void accountAttempt(const outcomes::AttemptVerdict &verdict);
-    [[nodiscard]] bool canResume(const outcomes::AttemptVerdict &verdict) const;
+    void accountAttempt(const outcomes::AttemptResult &verdict);
+    [[nodiscard]] bool canResume(const outcomes::AttemptResult &verdict) const;
     [[nodiscard]] outcomes::Outcome overallOutcome() const;
     [[nodiscard]] TimePoint now() const { return context_.clock_.now(); }
     /// \brief Runs \p step later on this thread unless the session is over by then.
@@ -92,7 +92,7 @@
     TimePoint handOverBefore_{TimePoint::max()}; ///< Of the granted claim.
     std::uint32_t attempts_ = 0;
     std::uint32_t resumes_ = 0;
-    outcomes::AttemptVerdict lastVerdict_{outcomes::Outcome::NotRun};
+    outcomes::AttemptResult lastVerdict_{outcomes::Outcome::NotRun};
     std::optional<Problem> endProblem_; ///< Set when this side ends the session.
     std::vector<DecisionRecord> decisions_;
     bool isEventful_ = false; ///< Refused, failed, retried or resumed.
--- a/src/traffic/session_end.cpp
+++ b/src/traffic/session_end.cpp
@@ -9,7 +9,7 @@
 
 namespace cardamombay::traffic::impl {
 
-void Session::accountAttempt(const outcomes::AttemptVerdict &verdict)
+void Session::accountAttempt(const outcomes::AttemptResult &verdict)
 {
     lastVerdict_ = verdict;
     mayHaveRun_ = mayHaveRun_ || verdict.outcome_ == outcomes::Outcome::Unknown;
@@ -49,7 +49,7 @@
                {"tokens", std::to_string(run_->tokens())}});
 }
 
-void Session::giveUp(const outcomes::AttemptVerdict &verdict, Duration retryAfter)
+void Session::giveUp(const outcomes::AttemptResult &verdict, Duration retryAfter)
 {
     fail(failureProblem(overallOutcome(), verdict.cause_, request_.safety(), retryAfter));
 }
--- a/tests/claims/fleet.hpp
+++ b/tests/claims/fleet.hpp
@@ -2,7 +2,7 @@
 /// \brief Several entry VMs' claim books before one platform, and a count of the runs.
 #pragma once
 
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/core/manual_clock.hpp>
 
 #include "support/fake_store.hpp"
@@ -43,9 +43,9 @@
         : table_(platform)
         , objects_(platform)
         , random_(number)
-        , book_(std::make_unique<ClaimBook>(
-              ClaimBook::Setting{clock, table_, objects_, random_, claimProgram(),
-                                 EntryId("e" + std::to_string(number)), Incarnation(1)},
+        , book_(std::make_unique<ClaimRegistry>(
+              ClaimRegistry::Dependencies{clock, table_, objects_, random_, claimProgram(),
+                                          EntryId("e" + std::to_string(number)), Incarnation(1)},
               policy, batches))
     {
         book_->setLiveness(&known);
@@ -54,7 +54,7 @@
     support::FakeTableStore table_;
     support::FakeObjectStore objects_;
     Random random_;
-    std::unique_ptr<ClaimBook> book_;
+    std::unique_ptr<ClaimRegistry> book_;
 };
 
 /// \brief Entry VMs e1, e2, ... and what their callers saw.
@@ -82,7 +82,7 @@
         return answer;
     }
 
-    ClaimBook &book(std::size_t at) { return *entries_[at]->book_; }
+    ClaimRegistry &book(std::size_t at) { return *entries_[at]->book_; }
     [[nodiscard]] bool isAlive(std::size_t at) const { return entries_[at]->book_ != nullptr; }
     support::StoreFaults &faults() { return platform_.faults_; }
 
--- a/tests/ledger/comparison.cpp
+++ b/tests/ledger/comparison.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-ToldRecord toldWhole(std::string mark)
+CallRecord toldWhole(std::string mark)
 {
-    ToldRecord told;
-    told.mark_ = std::move(mark);
+    CallRecord told;
+    told.callId_ = std::move(mark);
     told.status_ = 200;
     told.outcome_ = "ran";
     told.isWhole_ = true;
@@ -24,7 +24,7 @@
     return {"vm-1", std::move(attempt), std::move(mark), std::move(key)};
 }
 
-bool finds(LedgerFault fault, std::vector<RunRecord> runs, std::vector<ToldRecord> told)
+bool finds(LedgerFault fault, std::vector<RunRecord> runs, std::vector<CallRecord> told)
 {
     const auto findings = compareLedgers(runs, told);
     return findings.size() == 1 && findings[0].fault_ == fault;
@@ -35,7 +35,7 @@
 Test(ledger_comparison, whole_own_answers_give_no_finding)
 {
     const std::vector<RunRecord> runs{run("c-1"), run("c-1", "r.2"), run("c-2")};
-    const std::vector<ToldRecord> told{toldWhole("c-1"), toldWhole("c-2")};
+    const std::vector<CallRecord> told{toldWhole("c-1"), toldWhole("c-2")};
 
     cr_assert(compareLedgers(runs, told).empty());
 }
@@ -65,8 +65,8 @@
 
 Test(ledger_comparison, run_of_a_call_told_not_run_is_found)
 {
-    ToldRecord told;
-    told.mark_ = "c-1";
+    CallRecord told;
+    told.callId_ = "c-1";
     told.status_ = 503;
     told.isWhole_ = true;
     told.outcome_ = "not-run";
@@ -114,8 +114,8 @@
 
 Test(ledger_comparison, error_without_outcome_is_found)
 {
-    ToldRecord told;
-    told.mark_ = "c-1";
+    CallRecord told;
+    told.callId_ = "c-1";
     told.status_ = 502;
     told.isWhole_ = true;
 
--- a/tests/ledger/real_processes.cpp
+++ b/tests/ledger/real_processes.cpp
@@ -32,7 +32,7 @@
 }
 
 /// Streams that callers saw break off although they may be repeated.
-std::size_t brokenStreams(std::span<const ToldRecord> told)
+std::size_t brokenStreams(std::span<const CallRecord> told)
 {
     return static_cast<std::size_t>(std::count_if(told.begin(), told.end(), [](const auto &record) {
         const bool isBroken = record.status_ == 200 && !(record.isWhole_ && record.hasEnd_);
@@ -41,7 +41,7 @@
 }
 
 /// Lets callers work while \p harm is done, then until calls succeed again, and compares ledgers.
-std::vector<ToldRecord> checkUnder(FleetPlan plan, const std::function<void(Fleet &)> &harm)
+std::vector<CallRecord> checkUnder(FleetPlan plan, const std::function<void(Fleet &)> &harm)
 {
     Fleet fleet(PROGRAM_FOLDER, SOURCE_FOLDER, std::move(plan));
     fleet.start();
--- a/tests/proof/operations.cpp
+++ b/tests/proof/operations.cpp
@@ -20,14 +20,14 @@
 constexpr Duration observed = seconds(3);
 
 /// Calls whose answer broke off, or that ran without any answer.
-std::size_t cutOff(Scene &scene, std::span<const support::ToldRecord> told)
+std::size_t cutOff(Scene &scene, std::span<const support::CallRecord> told)
 {
     std::set<std::string> ran;
     for (const auto &run : scene.fleet().runs())
-        ran.insert(run.mark_);
+        ran.insert(run.callId_);
     return static_cast<std::size_t>(std::count_if(told.begin(), told.end(), [&](const auto &call) {
         const bool isBroken = call.status_ == 200 && !(call.isWhole_ && call.hasEnd_);
-        return isBroken || (call.status_ == 0 && ran.contains(call.mark_));
+        return isBroken || (call.status_ == 0 && ran.contains(call.callId_));
     }));
 }
 
--- a/tests/proof/scene.cpp
+++ b/tests/proof/scene.cpp
@@ -64,7 +64,7 @@
               "callers have no success; entry VMs: %s", decisions().c_str());
 }
 
-std::vector<support::ToldRecord> Scene::finish()
+std::vector<support::CallRecord> Scene::finish()
 {
     expectServing();
     auto told = crowd_->stop();
--- a/tests/proof/scene.hpp
+++ b/tests/proof/scene.hpp
@@ -47,7 +47,7 @@
 
     /// \brief Waits until callers succeed, stops them and compares what they were told with what
     /// endpoints ran; fails the test on any finding.
-    std::vector<support::ToldRecord> finish();
+    std::vector<support::CallRecord> finish();
 
     /// \name What the parts say
     /// \{
--- a/tests/support/caller_crowd.cpp
+++ b/tests/support/caller_crowd.cpp
@@ -29,10 +29,10 @@
     return echo && echo->is_string() ? std::string(echo->as_string()) : body;
 }
 
-ToldRecord toldOf(const load::CallResult &result, std::string mark)
+CallRecord toldOf(const load::CallResult &result, std::string mark)
 {
-    ToldRecord told;
-    told.mark_ = std::move(mark);
+    CallRecord told;
+    told.callId_ = std::move(mark);
     told.status_ = result.status_;
     told.outcome_ = load::statedOutcome(result);
     told.isWhole_ = result.isWhole_;
@@ -55,7 +55,7 @@
     stop();
 }
 
-std::vector<ToldRecord> CallerCrowd::stop()
+std::vector<CallRecord> CallerCrowd::stop()
 {
     isStopping_ = true;
     for (auto &thread : threads_)
@@ -99,7 +99,7 @@
     call.isStream_ = isStream;
     call.isNonIdempotent_ = isMarked;
     const auto answer = pickEntry(random).complete(call);
-    ToldRecord told = toldOf(answer.result_, mark);
+    CallRecord told = toldOf(answer.result_, mark);
     told.isNonIdempotent_ = isMarked;
     told.hasEnd_ = answer.hasEnd_;
     told.hasErrorEvent_ = answer.result_.body_.find("event: error") != std::string::npos;
@@ -117,7 +117,7 @@
     if (isKeyed)
         call.fields_.push_back({"Idempotency-Key", "key-" + mark});
     const std::uint32_t tries = isKeyed ? mix_.bookingTries_ : 1;
-    ToldRecord told;
+    CallRecord told;
     for (std::uint32_t i = 0; i < tries && told.status_ != 200; ++i) {
         const std::string before = told.outcome_;
         const auto result = pickEntry(random).send(call);
@@ -134,7 +134,7 @@
     note(std::move(told));
 }
 
-void CallerCrowd::note(ToldRecord told)
+void CallerCrowd::note(CallRecord told)
 {
     if (told.status_ == 200 && told.isWhole_ && told.hasEnd_)
         ++successes_;
@@ -142,7 +142,7 @@
     told_.push_back(std::move(told));
 }
 
-std::string summarize(std::span<const ToldRecord> told)
+std::string summarize(std::span<const CallRecord> told)
 {
     std::map<std::string, std::uint64_t> counts;
     for (const auto &record : told) {
--- a/tests/support/caller_crowd.hpp
+++ b/tests/support/caller_crowd.hpp
@@ -38,7 +38,7 @@
 
     /// \brief Waits for the calls under way.
     /// \returns what the callers were told.
-    std::vector<ToldRecord> stop();
+    std::vector<CallRecord> stop();
 
     /// \brief Calls ended with a whole success so far.
     [[nodiscard]] std::uint64_t successes() const { return successes_; }
@@ -47,7 +47,7 @@
     void run(std::uint64_t seed, std::uint32_t caller);
     void complete(Random &random, const std::string &mark, bool isStream, bool isMarked);
     void book(Random &random, const std::string &mark, bool isKeyed);
-    void note(ToldRecord told);
+    void note(CallRecord told);
     [[nodiscard]] Caller pickEntry(Random &random) const;
 
     const Fleet &fleet_;
@@ -55,11 +55,11 @@
     std::atomic<bool> isStopping_{false};
     std::atomic<std::uint64_t> successes_{0};
     std::mutex mutex_;
-    std::vector<ToldRecord> told_;
+    std::vector<CallRecord> told_;
     std::vector<std::thread> threads_;
 };
 
 /// \brief Number of records by status and outcome, for the test's output.
-[[nodiscard]] std::string summarize(std::span<const ToldRecord> told);
+[[nodiscard]] std::string summarize(std::span<const CallRecord> told);
 
 } // namespace cardamombay::support
--- a/tests/support/run_ledger.cpp
+++ b/tests/support/run_ledger.cpp
@@ -28,15 +28,15 @@
     explicit Comparison(std::span<const RunRecord> runs)
     {
         for (const auto &run : runs) {
-            byMark_[run.mark_].push_back(&run);
+            byMark_[run.callId_].push_back(&run);
             if (!run.idempotencyKey_.empty())
                 byKey_[run.idempotencyKey_].push_back(&run);
         }
     }
 
-    void check(const ToldRecord &told)
+    void check(const CallRecord &told)
     {
-        const auto &runs = byMark_[told.mark_];
+        const auto &runs = byMark_[told.callId_];
         if (told.isNonIdempotent_ && runs.size() > 1)
             add(LedgerFault::Doubled, told, attemptsOf(runs));
         if (told.outcome_ == "not-run" && !runs.empty())
@@ -47,7 +47,7 @@
             add(LedgerFault::NoOutcome, told, "status " + std::to_string(told.status_));
     }
 
-    void checkKey(const ToldRecord &told)
+    void checkKey(const CallRecord &told)
     {
         const bool isCounted = told.isNonIdempotent_ && !told.idempotencyKey_.empty()
                                && seenKeys_.insert(told.idempotencyKey_).second;
@@ -61,7 +61,7 @@
     [[nodiscard]] std::vector<LedgerFinding> take() { return std::move(findings_); }
 
 private:
-    void checkSuccess(const ToldRecord &told, const std::vector<const RunRecord *> &runs)
+    void checkSuccess(const CallRecord &told, const std::vector<const RunRecord *> &runs)
     {
         if (!told.isWhole_ || told.hasErrorEvent_)
             return; // The caller sees that it broke off.
@@ -76,15 +76,15 @@
             add(LedgerFault::Crossed, told, "got '" + told.text_ + "'");
     }
 
-    void checkRecorded(const ToldRecord &told, bool isRecorded)
+    void checkRecorded(const CallRecord &told, bool isRecorded)
     {
         if (!isRecorded)
             add(LedgerFault::Unrecorded, told, "no endpoint ran it");
     }
 
-    void add(LedgerFault fault, const ToldRecord &told, std::string detail)
+    void add(LedgerFault fault, const CallRecord &told, std::string detail)
     {
-        findings_.push_back({fault, told.mark_, std::move(detail)});
+        findings_.push_back({fault, told.callId_, std::move(detail)});
     }
 
     RunsByName byMark_;
@@ -113,7 +113,7 @@
         return;
     const json::object line{{"vm", record.vm_},
                             {"attempt", record.attempt_},
-                            {"mark", record.mark_},
+                            {"mark", record.callId_},
                             {"idempotency_key", record.idempotencyKey_}};
     out_ << json::serialize(line) << std::endl; // Flushed: a kill may come at once.
 }
@@ -135,7 +135,7 @@
 }
 
 std::vector<LedgerFinding> compareLedgers(std::span<const RunRecord> runs,
-                                          std::span<const ToldRecord> told)
+                                          std::span<const CallRecord> told)
 {
     Comparison comparison(runs);
     for (const auto &record : told) {
@@ -149,7 +149,7 @@
 {
     std::string text;
     for (const auto &finding : findings) {
-        text += std::string(nameOf(finding.fault_)) + " " + finding.mark_ + ": " + finding.detail_
+        text += std::string(nameOf(finding.fault_)) + " " + finding.callId_ + ": " + finding.detail_
                 + "\n";
     }
     return text;
--- a/tests/support/run_ledger.hpp
+++ b/tests/support/run_ledger.hpp
@@ -18,7 +18,7 @@
 {
     std::string vm_;
     std::string attempt_;
-    std::string mark_; ///< The caller's mark: field "user", or the body of a plain call.
+    std::string callId_; ///< The caller's mark: field "user", or the body of a plain call.
     std::string idempotencyKey_;
 };
 
@@ -41,9 +41,9 @@
 };
 
 /// \brief What one caller sent and was told.
-struct ToldRecord
+struct CallRecord
 {
-    std::string mark_; ///< Unique for each call.
+    std::string callId_; ///< Unique for each call.
     std::string idempotencyKey_;
     bool isNonIdempotent_ = false;
     std::uint32_t status_ = 0;   ///< Zero if no answer came.
@@ -69,14 +69,14 @@
 struct LedgerFinding
 {
     LedgerFault fault_;
-    std::string mark_;
+    std::string callId_;
     std::string detail_;
 };
 
 /// \brief Checks what callers were told against what endpoints ran.
 /// \details Calls without an answer are no finding: their callers know that the outcome is unknown.
 [[nodiscard]] std::vector<LedgerFinding> compareLedgers(std::span<const RunRecord> runs,
-                                                        std::span<const ToldRecord> told);
+                                                        std::span<const CallRecord> told);
 
 /// \brief One line for each finding.
 [[nodiscard]] std::string describe(std::span<const LedgerFinding> findings);
