--- a/include/cardamombay/claims/claim.hpp
+++ b/include/cardamombay/claims/claim.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Requests, answers and settings of claims.
-/// \details Typed messages only; ClaimRegistry decides. They carry the promise that a
-/// non-idempotent request with a key is handed over once at most.
+/// \brief Requests, answers and settings of idempotency key claims.
+/// \details Plain message types; the logic is in ClaimRegistry. Together they ensure that a
+/// non-idempotent request with an idempotency key is handed over to an endpoint at most once.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -14,27 +14,27 @@
 
 namespace cardamombay::claims {
 
-/// \brief Identifies a granted claim at the entry VM that holds it.
+/// \brief Identifies a claim within the entry VM that made it.
 using ClaimNumber = NumberId<struct ClaimNumberTag>;
 
-/// \brief A keyed request that must not run twice.
+/// \brief A request with an idempotency key that must not run twice.
 struct ClaimRequest
 {
     TeamName team_;
     IdempotencyKey key_;
-    std::string requestHash_; ///< Hash over method, path and body; tells reuse of a key.
+    std::string requestHash_; ///< Hash of method, path and body; detects reuse of a key.
 };
 
-/// \brief How a run ended, with its answer if that is kept.
+/// \brief Outcome of a request, with its response if that was stored.
 struct StoredOutcome
 {
     outcomes::Outcome outcome_ = outcomes::Outcome::Unknown; ///< Ran or Unknown.
     bool hasAnswer_ = false;
-    std::uint32_t status_ = 0; ///< HTTP status of the answer.
+    std::uint32_t status_ = 0; ///< HTTP status of the response.
     std::string contentType_;
     std::string body_;
 
-    /// \brief The outcome alone.
+    /// \brief Creates an outcome without a response.
     [[nodiscard]] static StoredOutcome withoutAnswer(outcomes::Outcome outcome)
     {
         StoredOutcome stored;
@@ -48,30 +48,31 @@
 /// \name Answers to a claim
 /// \{
 
-/// \brief The key is this request's: it may be handed over, once.
+/// \brief The claim was written; the request may be handed over once.
 struct Granted
 {
     ClaimNumber claim_;
     TimePoint handOverBefore_{};
 
-    /// \brief Ask right before the first byte leaves; false after a pause that was too long, and
-    /// then the claim is released without a hand-over.
+    /// \brief Returns whether the request may still be handed over.
+    /// \details Check right before the first byte is sent. If it returns false, for example after
+    /// a long process pause, release the claim without a hand-over.
     [[nodiscard]] bool mayHandOver(TimePoint now) const { return now < handOverBefore_; }
 };
 
-/// \brief A request with the key has ended; this is its outcome.
+/// \brief A request with the key has already ended with the given outcome.
 struct Duplicate
 {
     StoredOutcome stored_;
 };
 
-/// \brief A request with the key is running; its outcome can be asked for later.
+/// \brief A request with the key is still running; retry later for its outcome.
 struct InProgress
 {
     Duration retryAfter_ = std::chrono::seconds(1);
 };
 
-/// \brief A request with the key was started, and nobody knows how it ended. It is not run again.
+/// \brief A request with the key was started and its outcome is unknown. It is not run again.
 struct OutcomeUnknown
 {
 };
@@ -82,22 +83,22 @@
 };
 /// \}
 
-/// \brief Answer to a claim; only Granted permits a hand-over.
+/// \brief Answer to a claim; only Granted allows the hand-over.
 using ClaimAnswer = std::variant<Granted, Duplicate, InProgress, OutcomeUnknown, KeyMismatch>;
 
-/// \brief Bounds of claims.
+/// \brief Time and size limits of claims.
 struct ClaimPolicy
 {
-    Duration claimDeadline_ = std::chrono::seconds(2);   ///< Longest wait for a claim.
-    Duration handOverWithin_ = std::chrono::seconds(30); ///< From the first write of the claim.
-    Duration retryDelay_ = std::chrono::seconds(2);      ///< Between writes of an outcome.
-    std::uint32_t retries_ = 43200;                      ///< Of an outcome or release: a day.
-    Duration checkDelay_ = std::chrono::seconds(5);      ///< Before an unused claim is looked for.
-    std::size_t inlineBytes_ = 2048;                     ///< Longer answers go to the object store.
-    std::size_t keptBytes_ = 1U << 20U;                  ///< Longer answers are not kept.
+    Duration claimDeadline_ = std::chrono::seconds(2);   ///< Maximum wait for a claim.
+    Duration handOverWithin_ = std::chrono::seconds(30); ///< Measured from the start of the claim.
+    Duration retryDelay_ = std::chrono::seconds(2);      ///< Between attempts to write an outcome.
+    std::uint32_t retries_ = 43200; ///< For an outcome or a release; one day in total.
+    Duration checkDelay_ = std::chrono::seconds(5); ///< Before a row in doubt is read back.
+    std::size_t inlineBytes_ = 2048;                ///< Longer bodies go to the object store.
+    std::size_t keptBytes_ = 1U << 20U;             ///< Longer bodies are discarded.
 };
 
-/// \brief Counts, for metrics.
+/// \brief Counters for metrics.
 struct ClaimCounts
 {
     std::uint64_t granted_ = 0;
@@ -105,8 +106,8 @@
     std::uint64_t inProgress_ = 0;
     std::uint64_t unknown_ = 0;
     std::uint64_t mismatches_ = 0;
-    std::uint64_t refused_ = 0; ///< Not claimed in time or store down; told not-run.
-    std::uint64_t dropped_ = 0; ///< Outcomes or releases that could not be written.
+    std::uint64_t refused_ = 0; ///< Claim timed out or store failed; not run.
+    std::uint64_t dropped_ = 0; ///< Outcomes or releases that were not written.
 };
 
 } // namespace cardamombay::claims
--- a/include/cardamombay/claims/claim_expiry.hpp
+++ b/include/cardamombay/claims/claim_expiry.hpp
@@ -1,13 +1,15 @@
 /// \file
-/// \brief Forgets old claims, without a clock that entry VMs share.
-/// \details Time is counted in periods. One row holds the number of the present period and the
-/// store versions at which the latest ones began. An entry VM that has seen the row unchanged for
-/// a whole period on its own clock begins the next one by compare-and-set, so a period is never
-/// shorter than its length, whoever begins it. A claim row whose version is older than the begin
-/// of the period that lies Policy::keptPeriods_ back is at least that many periods old and is
-/// deleted. The entry VM that began the period does so; if it is lost, the next period's does.
+/// \brief Deletes expired claims without a clock shared between entry VMs.
+/// \details Time is divided into periods. One row stores the number of the current period and the
+/// store versions at which the latest periods started. An entry VM that has seen this row unchanged
+/// for a full period on its own clock starts the next one by compare-and-set, so no period is
+/// shorter than ExpiryPolicy::period_, whichever entry VM starts it. A claim row with a version
+/// older than the start of the period ExpiryPolicy::keptPeriods_ ago is at least that many periods
+/// old and is deleted. The entry VM that started the period deletes the rows; if it fails, the one
+/// that starts the next period does.
 ///
-/// Guards that a key is remembered for at least keptPeriods_ x period_ after its request ended.
+/// An idempotency key is therefore kept for at least keptPeriods_ x period_ after its request
+/// ended.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -22,30 +24,30 @@
 
 namespace cardamombay::claims {
 
-/// \brief Bounds of the expiry.
+/// \brief Settings of the expiry.
 struct ExpiryPolicy
 {
     Duration period_ = std::chrono::hours(1);
     std::size_t keptPeriods_ = 24;
-    Duration pageDelay_ = std::chrono::milliseconds(500); ///< Between two pages of a sweep.
+    Duration pageDelay_ = std::chrono::milliseconds(500); ///< Between two pages of a scan.
     std::size_t pageRows_ = 200;
 };
 
-/// \brief The present period and where it and those before began.
+/// \brief The current period and the versions at which the latest periods started.
 struct ClaimPeriods
 {
     std::uint64_t number_ = 0;
-    std::vector<RowVersion> begins_; ///< Versions of the row in earlier periods, oldest first.
+    std::vector<RowVersion> startVersions_; ///< Row versions of earlier periods, oldest first.
 
     friend bool operator==(const ClaimPeriods &, const ClaimPeriods &) = default;
 };
 
-/// \brief Row of the periods.
+/// \brief Key of the row that stores the periods.
 [[nodiscard]] platform::RowKey periodRowKey();
 [[nodiscard]] std::string encode(const ClaimPeriods &periods);
 [[nodiscard]] Result<ClaimPeriods> decodeClaimPeriods(std::string_view text);
 
-/// \brief Counts, for metrics.
+/// \brief Counters for metrics.
 struct ExpiryCounts
 {
     std::uint64_t periodsBegun_ = 0;
@@ -53,26 +55,26 @@
     std::uint64_t deleted_ = 0;
 };
 
-/// \brief Watches the periods and deletes what has expired; lives on the control thread.
+/// \brief Advances the periods and deletes expired claims. Used on the control thread only.
 class ClaimExpiry
 {
 public:
     ClaimExpiry(Clock &clock, platform::TableStore &store, Random &random,
                 platform::WriterTokens tokens, ExpiryPolicy policy = {});
 
-    /// \brief Starts watching; it reads the row four times a period.
+    /// \brief Starts polling; the period row is read four times per period.
     void start();
 
     [[nodiscard]] const ExpiryCounts &counts() const { return counts_; }
 
 private:
-    void watch();
+    void poll();
     void observe(const platform::Row *row);
     void beginPeriod(const platform::Row *row);
     void sweep(const std::string &after);
     void sweepPage(const platform::ScanPage &page);
-    void later(Duration delay, void (ClaimExpiry::*step)());
-    void continueSweep() { sweep(sweptTo_); }
+    void scheduleStep(Duration delay, void (ClaimExpiry::*step)());
+    void continueSweep() { sweep(sweepCursor_); }
 
     Clock &clock_;
     platform::TableStore &store_;
@@ -81,13 +83,13 @@
     ExpiryPolicy policy_;
     platform::ReliableCommit commit_;
     RowVersion seenVersion_;
-    TimePoint seenSince_{};
+    TimePoint firstSeenAt_{};
     bool hasSeen_ = false;
     bool isSweeping_ = false;
     RowVersion expiredUpTo_;
-    std::string sweptTo_;
+    std::string sweepCursor_;
     ExpiryCounts counts_;
-    std::shared_ptr<char> alive_; ///< Callbacks hold it weakly.
+    std::shared_ptr<char> alive_; ///< Callbacks hold a weak_ptr to detect destruction.
 };
 
 } // namespace cardamombay::claims
--- a/include/cardamombay/claims/claim_registry.hpp
+++ b/include/cardamombay/claims/claim_registry.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// \brief At-most-once for keyed non-idempotent requests.
-/// \details Decides whether a request with an idempotency key may be handed over: only if its
-/// claim was written to the table service first. A claim that was written and not ended is never
-/// run again, whatever became of its entry VM. It guards that a non-idempotent request runs at
-/// most once; it never hands anything over itself. The transitions stand in charts/claim.toml.
+/// \brief At-most-once execution of non-idempotent requests with an idempotency key.
+/// \details A request with an idempotency key may be handed over only after its claim was written
+/// to the table service. A request whose claim was granted but never completed or released is not
+/// run again, even if its entry VM has failed. The registry only decides; it sends no requests.
+/// The state machine is defined in charts/claim.toml.
 #pragma once
 
 #include <cardamombay/chart/machine.hpp>
@@ -22,13 +22,13 @@
 
 class ClaimRecord;
 
-/// \brief The chart of claims with its code.
+/// \brief The claim state machine, with its actions and guards bound.
 using ClaimProgramPtr = chart::ProgramPtr<ClaimRecord>;
 
-/// \brief Binds charts/claim.toml; done once at start.
+/// \brief Binds actions and guards to charts/claim.toml; called once at startup.
 [[nodiscard]] Result<ClaimProgramPtr> makeClaimProgram(const chart::Chart &chart);
 
-/// \brief Tells whether the entry VM that holds a claim still runs.
+/// \brief Reports whether the entry VM that holds a claim is still running.
 class EntryLiveness
 {
 public:
@@ -37,21 +37,21 @@
     EntryLiveness &operator=(const EntryLiveness &) = delete;
     virtual ~EntryLiveness() = default;
 
-    /// \brief True if \p entry is believed alive in that incarnation.
+    /// \brief Returns true if that incarnation of \p entry is believed to be alive.
     [[nodiscard]] virtual bool isAlive(const EntryId &entry, Incarnation incarnation) const = 0;
 };
 
-/// \brief Claims of one entry VM; lives on the control thread.
+/// \brief Claims of one entry VM. Used on the control thread only.
 /// \code
-/// book.claim({team, key, hash}, [&](Result<ClaimAnswer> answer) {
-///     // Any error: nothing was handed over; tell the caller not-run with Retry-After.
-///     // Granted: hand over if mayHandOver(now), then complete() or release().
+/// registry.claim({team, key, hash}, [&](Result<ClaimAnswer> answer) {
+///     // Error: nothing was handed over; report not-run with Retry-After to the caller.
+///     // Granted: hand over if mayHandOver(now), then call complete() or release().
 /// });
 /// \endcode
 class ClaimRegistry
 {
 public:
-    /// \brief Where the book runs and whom it claims for.
+    /// \brief Services that the registry uses, and the identity of its entry VM.
     struct Dependencies
     {
         Clock &clock_;
@@ -60,36 +60,37 @@
         Random &random_;
         ClaimProgramPtr program_;
         EntryId self_;
-        Incarnation incarnation_; ///< Must differ between two starts of one entry VM.
+        Incarnation incarnation_; ///< Must differ between restarts of an entry VM.
     };
 
-    explicit ClaimRegistry(Dependencies setting, ClaimPolicy policy = {}, BatchPolicy batches = {});
+    explicit ClaimRegistry(Dependencies dependencies, ClaimPolicy policy = {},
+                           BatchPolicy batches = {});
     ~ClaimRegistry();
     ClaimRegistry(const ClaimRegistry &) = delete;
     ClaimRegistry &operator=(const ClaimRegistry &) = delete;
 
     /// \brief Claims the key of \p request.
     /// \param request the request and its key.
-    /// \param done receives the answer, never inline. An error means that the request was not
-    /// handed over and may be told not-run.
+    /// \param done receives the answer, never synchronously. An error means that the request was
+    /// not handed over and may be reported as not-run.
     void claim(ClaimRequest request, Callback<ClaimAnswer> done);
 
-    /// \brief Ends a granted claim whose request ran or may have run.
+    /// \brief Completes a granted claim whose request ran or may have run.
     void complete(ClaimNumber claim, StoredOutcome stored);
 
-    /// \brief Ends a granted claim whose request was not run; the key may then be used again.
+    /// \brief Releases a granted claim whose request was not run, so that its key can be reused.
     /// \param claim the claim.
-    /// \param done runs once the key is free or cannot be freed; tell the caller not-run then, or
-    /// after a short wait.
+    /// \param done called once the key is free, or cannot be freed. Report not-run to the caller
+    /// then, or after a short wait.
     void release(ClaimNumber claim, std::function<void()> done = {});
 
     /// \brief Sets the number of entry VMs that share the store's write budget.
     void setEntryCount(std::uint32_t count) { batcher_.setEntryCount(count); }
 
-    /// \brief Sets who knows the entry VMs; without one every other holder counts as gone.
+    /// \brief Sets the liveness source; without one, all other entry VMs count as failed.
     void setLiveness(const EntryLiveness *liveness) { liveness_ = liveness; }
 
-    /// \brief Claims that are not ended; a graceful shutdown waits for none.
+    /// \brief Number of claims that are not done. Graceful shutdown does not wait for them.
     [[nodiscard]] std::size_t openClaims() const { return records_.size(); }
 
     [[nodiscard]] const ClaimCounts &counts() const { return counts_; }
@@ -100,23 +101,24 @@
     using RecordPtr = std::shared_ptr<ClaimRecord>;
 
     void answerLater(Callback<ClaimAnswer> done, Result<ClaimAnswer> answer);
-    void answerLocal(ClaimRecord &record, const ClaimRequest &request, Callback<ClaimAnswer> done);
-    void answerRow(const ClaimRequest &request, const platform::Row &row,
-                   const Callback<ClaimAnswer> &done);
-    void answerStored(ClaimRow row, const Callback<ClaimAnswer> &done);
-    [[nodiscard]] ClaimAnswer judgeOwner(const ClaimOwner &owner);
-    void finish(ClaimRecord &record);
+    void answerFromRecord(ClaimRecord &record, const ClaimRequest &request,
+                          Callback<ClaimAnswer> done);
+    void answerFromRow(const ClaimRequest &request, const platform::Row &row,
+                       const Callback<ClaimAnswer> &done);
+    void answerFromOutcome(ClaimRow row, const Callback<ClaimAnswer> &done);
+    [[nodiscard]] ClaimAnswer answerUnfinished(const ClaimOwner &owner);
+    void removeRecord(ClaimRecord &record);
     [[nodiscard]] RecordPtr find(ClaimNumber claim) const;
 
-    Dependencies setting_;
+    Dependencies dependencies_;
     ClaimPolicy policy_;
     RowBatcher batcher_;
     const EntryLiveness *liveness_ = nullptr;
     ClaimNumber lastClaim_;
-    std::unordered_map<std::string, RecordPtr> records_; ///< By the key of the row.
+    std::unordered_map<std::string, RecordPtr> records_; ///< By row key.
     std::unordered_map<ClaimNumber, std::string> keys_;
     ClaimCounts counts_;
-    std::shared_ptr<char> alive_; ///< Callbacks hold it weakly.
+    std::shared_ptr<char> alive_; ///< Callbacks hold a weak_ptr to detect destruction.
 };
 
 } // namespace cardamombay::claims
--- a/include/cardamombay/claims/claim_row.hpp
+++ b/include/cardamombay/claims/claim_row.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief The row of a claim in the table service.
-/// \details Decides what of a claim is kept in the table service and how it is read back; a row
-/// that cannot be read is an error, never an absent claim. It writes nothing itself.
+/// \brief Format of a claim row in the table service.
+/// \details Encodes and decodes claim rows; it does not access the table service. A row that cannot
+/// be decoded is an error and is never treated as an absent claim.
 #pragma once
 
 #include <cardamombay/claims/claim.hpp>
@@ -13,10 +13,10 @@
 
 namespace cardamombay::claims {
 
-/// \brief Table of the claims.
+/// \brief Name of the table that stores claims.
 inline constexpr std::string_view claimTable = "claims";
 
-/// \brief Who wrote a claim; unique for each claim.
+/// \brief Identifies the writer of a claim; unique for each claim.
 struct ClaimOwner
 {
     EntryId entry_;
@@ -33,19 +33,19 @@
     std::string requestHash_;
     ClaimOwner owner_;
     bool isFinished_ = false;
-    StoredOutcome stored_;   ///< If finished.
-    std::string objectName_; ///< Where the body is; empty if it is in stored_.
+    StoredOutcome stored_;   ///< Set if isFinished_.
+    std::string objectName_; ///< Object that stores the body; empty if it is in stored_.
 
     friend bool operator==(const ClaimRow &, const ClaimRow &) = default;
 };
 
-/// \brief Row key "team/hash of the idempotency key".
+/// \brief Returns the row key, "team/hash of the idempotency key".
 [[nodiscard]] platform::RowKey rowKeyOf(const TeamName &team, const IdempotencyKey &key);
 
-/// \brief JSON text of \p row.
+/// \brief Encodes \p row as JSON.
 [[nodiscard]] std::string encode(const ClaimRow &row);
 
-/// \brief Reads the JSON text of a row; MalformedMessage if it is none.
+/// \brief Decodes a row from JSON; fails with MalformedMessage if it is malformed.
 [[nodiscard]] Result<ClaimRow> decodeClaimRow(std::string_view text);
 
 } // namespace cardamombay::claims
--- a/include/cardamombay/claims/row_batcher.hpp
+++ b/include/cardamombay/claims/row_batcher.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// \brief Many conditional writes of single rows in few transactions.
-/// \details Collects row changes of one entry VM and commits them together, paced by its share of
-/// the store's write budget: batches grow with the load while the number of transactions does not.
-/// Changes that nobody waits for spend only credit that urgent ones leave.
-/// A change whose condition fails is split out; the others are committed without it.
+/// \brief Batches conditional writes of single rows into few transactions.
+/// \details Collects row changes of one entry VM and commits them together. A token bucket with the
+/// entry VM's share of the store's write budget limits the rate, so under load the batches grow
+/// instead of the number of transactions. Changes that no caller waits for only use credit that
+/// urgent changes leave over. A change whose condition fails is removed from its batch, and the
+/// other changes are committed without it.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -19,65 +20,65 @@
 
 namespace cardamombay::claims {
 
-/// \brief A write of one row on the condition that its version is the expected one.
+/// \brief A write of one row, conditional on its current version.
 struct RowChange
 {
     platform::RowKey key_;
-    RowVersion expected_; ///< None: the row must be absent.
+    RowVersion expected_; ///< None if the row must be absent.
     std::optional<std::string> value_;
-    TimePoint startBefore_ = TimePoint::max(); ///< Not submitted later.
-    bool isUrgent_ = true; ///< If not, it waits for an urgent change or for spare credit.
+    TimePoint startBefore_ = TimePoint::max(); ///< Fails if not sent to the store by then.
+    bool isUrgent_ = true; ///< If false, it waits for an urgent change or for spare credit.
 };
 
-/// \brief The change took effect.
+/// \brief The change was committed.
 struct RowWritten
 {
     RowVersion version_;
 };
 
-/// \brief The condition failed; nothing was written. The row found has no version if it is gone.
+/// \brief The condition failed and nothing was written. row_ has no version if the row is absent.
 struct RowConflict
 {
     platform::Row row_;
 };
 
-/// \brief Result of a change. Of the errors only StoreAnswerLost may stand for an effect.
+/// \brief Result of a change. Of the errors, only StoreAnswerLost may mean that it was committed.
 using RowChangeResult = std::variant<RowWritten, RowConflict, Error>;
 
-/// \brief Receives the result of a change.
+/// \brief Callback that receives the result of a change.
 using RowChangeCallback = std::function<void(RowChangeResult)>;
 
-/// \brief Bounds of the batches.
+/// \brief Rate and size limits of batches.
 struct BatchPolicy
 {
-    double writesPerSecond_ = 200; ///< Transactions of all entry VMs together.
-    double burst_ = 10;            ///< Transactions of one entry VM after a quiet time.
-    std::size_t maxRows_ = 100;    ///< Most changes in a transaction.
-    std::uint32_t inFlight_ = 2;   ///< Transactions of one entry VM at once.
-    Duration batchDelay_ = std::chrono::milliseconds(2); ///< Wait for company of a first change.
-    std::uint32_t conflicts_ = 8; ///< Tries of one change whose conflict cannot be read.
+    double writesPerSecond_ = 200; ///< Transactions per second of all entry VMs together.
+    double burst_ = 10;            ///< Transactions of one entry VM after an idle time.
+    std::size_t maxRows_ = 100;    ///< Maximum changes per transaction.
+    std::uint32_t inFlight_ = 2;   ///< Maximum concurrent transactions of one entry VM.
+    Duration batchDelay_ = std::chrono::milliseconds(2); ///< Time to collect further changes.
+    std::uint32_t conflicts_ = 8; ///< Maximum attempts if the conflicting row cannot be read.
     platform::CommitPolicy commit_{.deadline_ = std::chrono::seconds(2),
                                    .isWriterSoleOwner_ = true};
 };
 
-/// \brief Counts, for metrics.
+/// \brief Counters for metrics.
 struct BatchCounts
 {
     std::uint64_t transactions_ = 0;
-    std::uint64_t changes_ = 0; ///< That took effect.
+    std::uint64_t changes_ = 0; ///< Committed changes.
     std::uint64_t conflicts_ = 0;
 };
 
-/// \brief Commits row changes in batches. Results arrive by callback, never inline.
-/// \details At most one change for a row may be pending. A row is changed by its writer only,
-/// until it is deleted.
+/// \brief Commits row changes in batches. Callbacks are never called synchronously.
+/// \details At most one change per row may be pending. Until a row is deleted, only its writer may
+/// change it.
 class RowBatcher
 {
 public:
     RowBatcher(Clock &clock, platform::TableStore &store, Random &random,
                platform::WriterTokens tokens, BatchPolicy policy = {});
 
-    /// \brief Submits \p change; \p done is not called after this object is gone.
+    /// \brief Submits \p change. \p done is not called after this object is destroyed.
     void submit(RowChange change, RowChangeCallback done);
 
     /// \brief Sets the number of entry VMs that share the write budget.
@@ -97,15 +98,15 @@
 
     void refill();
     [[nodiscard]] double creditNeeded() const;
-    void wake(Duration delay);
+    void schedulePump(Duration delay);
     void pump();
-    void expire();
-    void flush();
+    void rejectLateChanges();
+    void sendNextBatch();
     void send(const Batch &batch);
-    void judge(const Batch &batch, const Result<platform::CommitReceipt> &result);
+    void handleCommitResult(const Batch &batch, const Result<platform::CommitReceipt> &result);
     void readConflicts(const Batch &batch, const StoreConflict &conflict);
-    void split(const Batch &batch, const StoreConflict &conflict,
-               const std::vector<platform::Row> &rows);
+    void resolveConflicts(const Batch &batch, const StoreConflict &conflict,
+                          const std::vector<platform::Row> &rows);
     void requeue(Item item);
 
     Clock &clock_;
@@ -122,7 +123,7 @@
     TimerId timer_ = TimerId::None;
     TimePoint timerDue_{};
     BatchCounts counts_;
-    std::shared_ptr<char> alive_; ///< Callbacks hold it weakly.
+    std::shared_ptr<char> alive_; ///< Callbacks hold a weak_ptr to detect destruction.
 };
 
 } // namespace cardamombay::claims
--- a/src/claims/claim_expiry.cpp
+++ b/src/claims/claim_expiry.cpp
@@ -21,7 +21,7 @@
 std::string encode(const ClaimPeriods &periods)
 {
     json::array begins;
-    for (const auto version : periods.begins_)
+    for (const auto version : periods.startVersions_)
         begins.emplace_back(version.value());
     return json::serialize(json::object{{"number", periods.number_}, {"begins", begins}});
 }
@@ -34,7 +34,7 @@
         ClaimPeriods periods;
         periods.number_ = json::value_to<std::uint64_t>(object.at("number"));
         for (const auto &begin : object.at("begins").as_array())
-            periods.begins_.emplace_back(json::value_to<std::uint64_t>(begin));
+            periods.startVersions_.emplace_back(json::value_to<std::uint64_t>(begin));
         return periods;
     } catch (const std::exception &error) {
         return Error(MalformedMessage{"claim period row", error.what()});
@@ -55,12 +55,13 @@
 
 void ClaimExpiry::start()
 {
-    // Spread, so that entry VMs that start together do not read together.
+    // Random delay, so that entry VMs that start at the same time do not read at the same time.
     const auto quarter = static_cast<std::uint64_t>(policy_.period_.count() / 4);
-    later(Duration(static_cast<std::int64_t>(random_.below(quarter + 1))), &ClaimExpiry::watch);
+    scheduleStep(Duration(static_cast<std::int64_t>(random_.below(quarter + 1))),
+                 &ClaimExpiry::poll);
 }
 
-void ClaimExpiry::later(Duration delay, void (ClaimExpiry::*step)())
+void ClaimExpiry::scheduleStep(Duration delay, void (ClaimExpiry::*step)())
 {
     clock_.schedule(delay, [this, step, alive = std::weak_ptr(alive_)] {
         if (!alive.expired())
@@ -68,9 +69,9 @@
     });
 }
 
-void ClaimExpiry::watch()
+void ClaimExpiry::poll()
 {
-    later(policy_.period_ / 4, &ClaimExpiry::watch);
+    scheduleStep(policy_.period_ / 4, &ClaimExpiry::poll);
     store_.read({periodRowKey()},
                 [this, alive = std::weak_ptr(alive_)](const Result<std::vector<Row>> &result) {
                     if (alive.expired() || !isOk(result))
@@ -86,9 +87,9 @@
     if (!hasSeen_ || version > seenVersion_) {
         hasSeen_ = true;
         seenVersion_ = version;
-        seenSince_ = clock_.now();
+        firstSeenAt_ = clock_.now();
     }
-    const bool isDue = !row || clock_.now() - seenSince_ >= policy_.period_;
+    const bool isDue = !row || clock_.now() - firstSeenAt_ >= policy_.period_;
     if (isDue && version == seenVersion_)
         beginPeriod(row);
 }
@@ -101,15 +102,16 @@
         if (!isOk(decoded))
             return;
         periods = std::move(valueOf(decoded));
-        periods.begins_.push_back(row->version_);
+        periods.startVersions_.push_back(row->version_);
     }
     ++periods.number_;
     RowVersion expired;
-    if (periods.begins_.size() >= policy_.keptPeriods_) {
-        const auto surplus = periods.begins_.size() - policy_.keptPeriods_;
-        expired = periods.begins_[surplus];
-        periods.begins_.erase(periods.begins_.begin(),
-                              periods.begins_.begin() + static_cast<std::ptrdiff_t>(surplus));
+    if (periods.startVersions_.size() >= policy_.keptPeriods_) {
+        const auto surplus = periods.startVersions_.size() - policy_.keptPeriods_;
+        expired = periods.startVersions_[surplus];
+        periods.startVersions_.erase(periods.startVersions_.begin(),
+                                     periods.startVersions_.begin()
+                                         + static_cast<std::ptrdiff_t>(surplus));
     }
     platform::Transaction transaction{tokens_.next(),
                                       {{periodRowKey(), row ? row->version_ : RowVersion{}}},
@@ -140,7 +142,8 @@
                 });
 }
 
-/// A row that changed since it was read makes its page conflict; the next sweep comes back to it.
+/// If a row has changed since it was read, the deletion of its page fails on the version condition;
+/// the next sweep retries it.
 void ClaimExpiry::sweepPage(const ScanPage &page)
 {
     ++counts_.pages_;
@@ -160,8 +163,8 @@
     isSweeping_ = !page.isLast_ && !page.rows_.empty();
     if (!isSweeping_)
         return;
-    sweptTo_ = page.rows_.back().key_.key_;
-    later(policy_.pageDelay_, &ClaimExpiry::continueSweep);
+    sweepCursor_ = page.rows_.back().key_.key_;
+    scheduleStep(policy_.pageDelay_, &ClaimExpiry::continueSweep);
 }
 
 } // namespace cardamombay::claims
--- a/src/claims/claim_record.cpp
+++ b/src/claims/claim_record.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-Error lateClaim()
+Error claimTimeoutError()
 {
-    return StoreUnavailable{"claim", "not written in time"};
+    return StoreUnavailable{"claim", "the claim was not written before its deadline"};
 }
 
 } // namespace
@@ -27,7 +27,7 @@
     binding.events({"written", "taken", "not-written", "effect-unknown", "timed-out", "completed",
                     "not-run", "answer-kept", "retry-due", "found-own", "found-other"});
     binding.guard("retries-left", [](const ClaimRecord &record) {
-        return record.retries_ < record.book_.policy_.retries_;
+        return record.retries_ < record.registry_.policy_.retries_;
     });
     binding.action("grant", [](ClaimRecord &record) { record.grant(); });
     binding.action("answer-taken", [](ClaimRecord &record) { record.answerTaken(); });
@@ -35,38 +35,41 @@
     binding.action("keep-answer", [](ClaimRecord &record) { record.keepAnswer(); });
     binding.action("write-outcome", [](ClaimRecord &record) { record.writeOutcome(); });
     binding.action("write-release", [](ClaimRecord &record) { record.writeRelease(); });
-    binding.action("schedule-retry",
-                   [](ClaimRecord &record) { record.schedule(record.book_.policy_.retryDelay_); });
-    binding.action("schedule-check",
-                   [](ClaimRecord &record) { record.schedule(record.book_.policy_.checkDelay_); });
+    binding.action("schedule-retry", [](ClaimRecord &record) {
+        record.schedule(record.registry_.policy_.retryDelay_);
+    });
+    binding.action("schedule-check", [](ClaimRecord &record) {
+        record.schedule(record.registry_.policy_.checkDelay_);
+    });
     binding.action("read-row", [](ClaimRecord &record) { record.readRow(); });
-    binding.action("count-dropped", [](ClaimRecord &record) { ++record.book_.counts_.dropped_; });
+    binding.action("count-dropped",
+                   [](ClaimRecord &record) { ++record.registry_.counts_.dropped_; });
     return binding;
 }
 
-ClaimRecord::ClaimRecord(ClaimRegistry &book, ClaimNumber number, ClaimRequest request,
+ClaimRecord::ClaimRecord(ClaimRegistry &registry, ClaimNumber number, ClaimRequest request,
                          Callback<ClaimAnswer> done)
-    : book_(book)
+    : registry_(registry)
     , request_(std::move(request))
     , done_(std::move(done))
     , key_(rowKeyOf(request_.team_, request_.key_))
-    , machine_(book.setting_.program_)
+    , machine_(registry.dependencies_.program_)
 {
     row_.key_ = request_.key_;
     row_.requestHash_ = request_.requestHash_;
-    row_.owner_ = {book.setting_.self_, book.setting_.incarnation_, number};
+    row_.owner_ = {registry.dependencies_.self_, registry.dependencies_.incarnation_, number};
 }
 
 void ClaimRecord::start()
 {
-    auto &clock = book_.setting_.clock_;
+    auto &clock = registry_.dependencies_.clock_;
     startedAt_ = clock.now();
-    const Duration limit = book_.policy_.claimDeadline_;
+    const Duration limit = registry_.policy_.claimDeadline_;
     write({key_, version_, encode(row_), startedAt_ + limit});
-    clock.schedule(limit, [record = weak_from_this(), alive = std::weak_ptr(book_.alive_)] {
+    clock.schedule(limit, [record = weak_from_this(), alive = std::weak_ptr(registry_.alive_)] {
         const auto self = record.lock();
         if (!alive.expired() && self && self->isIn("claiming")) {
-            self->lastError_ = lateClaim();
+            self->lastError_ = claimTimeoutError();
             self->handle("timed-out");
         }
     });
@@ -84,7 +87,7 @@
 void ClaimRecord::release(std::function<void()> done)
 {
     if (done)
-        released_.push_back(std::move(done));
+        releaseCallbacks_.push_back(std::move(done));
     handle("not-run");
 }
 
@@ -93,12 +96,12 @@
     auto waiter
         = std::make_shared<WaitingClaim>(WaitingClaim{std::move(request), std::move(done), false});
     waiters_.push_back(waiter);
-    const Duration limit = book_.policy_.claimDeadline_;
-    book_.setting_.clock_.schedule(limit, [waiter] {
+    const Duration limit = registry_.policy_.claimDeadline_;
+    registry_.dependencies_.clock_.schedule(limit, [waiter] {
         if (waiter->isAnswered_)
             return;
         waiter->isAnswered_ = true;
-        waiter->done_(lateClaim());
+        waiter->done_(claimTimeoutError());
     });
 }
 
@@ -107,7 +110,7 @@
     const auto self = shared_from_this();
     const auto handled = machine_.handle(*this, event);
     if (handled != chart::Handled::Queued && machine_.isFinal())
-        book_.finish(*this);
+        registry_.removeRecord(*this);
 }
 
 void ClaimRecord::handleResult(RowChangeResult result)
@@ -135,20 +138,20 @@
 
 void ClaimRecord::grant()
 {
-    ++book_.counts_.granted_;
-    answer(ClaimAnswer(Granted{number(), startedAt_ + book_.policy_.handOverWithin_}));
+    ++registry_.counts_.granted_;
+    answer(ClaimAnswer(Granted{number(), startedAt_ + registry_.policy_.handOverWithin_}));
 }
 
 void ClaimRecord::answerTaken()
 {
     const auto done = std::exchange(done_, nullptr);
-    book_.answerRow(request_, *taken_, done);
+    registry_.answerFromRow(request_, *taken_, done);
 }
 
 void ClaimRecord::refuse()
 {
-    ++book_.counts_.refused_;
-    // Nothing was handed over, so to the caller even a lost answer is a refusal.
+    ++registry_.counts_.refused_;
+    // Nothing was handed over, so even a lost store answer is reported as not-run.
     const bool isLost = std::holds_alternative<StoreAnswerLost>(lastError_);
     answer(isLost ? Error(StoreUnavailable{"claim", messageOf(lastError_)}) : lastError_);
 }
@@ -157,28 +160,28 @@
 {
     retries_ = 0;
     auto &stored = row_.stored_;
-    if (stored.body_.size() > book_.policy_.keptBytes_)
+    if (stored.body_.size() > registry_.policy_.keptBytes_)
         stored = StoredOutcome::withoutAnswer(stored.outcome_);
-    if (stored.body_.size() <= book_.policy_.inlineBytes_) {
+    if (stored.body_.size() <= registry_.policy_.inlineBytes_) {
         handle("answer-kept");
         return;
     }
     constexpr std::uint64_t secondSeed = 1;
     row_.objectName_ = "answers-" + std::to_string(stableHash(stored.body_)) + "-"
                        + std::to_string(stableHash(stored.body_, secondSeed));
-    book_.setting_.objects_.put(row_.objectName_, stored.body_,
-                                [self = shared_from_this(),
-                                 alive = std::weak_ptr(book_.alive_)](const Result<Done> &result) {
-                                    if (alive.expired())
-                                        return;
-                                    auto &row = self->row_;
-                                    if (!isOk(result)) {
-                                        row.stored_
-                                            = StoredOutcome::withoutAnswer(row.stored_.outcome_);
-                                        row.objectName_.clear();
-                                    }
-                                    self->handle("answer-kept");
-                                });
+    registry_.dependencies_.objects_.put(
+        row_.objectName_, stored.body_,
+        [self = shared_from_this(),
+         alive = std::weak_ptr(registry_.alive_)](const Result<Done> &result) {
+            if (alive.expired())
+                return;
+            auto &row = self->row_;
+            if (!isOk(result)) {
+                row.stored_ = StoredOutcome::withoutAnswer(row.stored_.outcome_);
+                row.objectName_.clear();
+            }
+            self->handle("answer-kept");
+        });
 }
 
 void ClaimRecord::writeOutcome()
@@ -198,8 +201,8 @@
 void ClaimRecord::schedule(Duration delay)
 {
     ++retries_;
-    book_.setting_.clock_.schedule(
-        delay, [self = shared_from_this(), alive = std::weak_ptr(book_.alive_)] {
+    registry_.dependencies_.clock_.schedule(
+        delay, [self = shared_from_this(), alive = std::weak_ptr(registry_.alive_)] {
             if (!alive.expired())
                 self->handle("retry-due");
         });
@@ -207,8 +210,8 @@
 
 void ClaimRecord::readRow()
 {
-    auto done = [self = shared_from_this(),
-                 alive = std::weak_ptr(book_.alive_)](const Result<std::vector<platform::Row>> &r) {
+    auto done = [self = shared_from_this(), alive = std::weak_ptr(registry_.alive_)](
+                    const Result<std::vector<platform::Row>> &r) {
         if (alive.expired())
             return;
         if (!isOk(r)) {
@@ -223,14 +226,15 @@
         }
         self->handle(isOwn ? "found-own" : "found-other");
     };
-    book_.setting_.table_.read({key_}, std::move(done));
+    registry_.dependencies_.table_.read({key_}, std::move(done));
 }
 
 void ClaimRecord::write(RowChange change)
 {
-    book_.batcher_.submit(std::move(change), [self = shared_from_this()](RowChangeResult result) {
-        self->handleResult(std::move(result));
-    });
+    registry_.batcher_.submit(std::move(change),
+                              [self = shared_from_this()](RowChangeResult result) {
+                                  self->handleResult(std::move(result));
+                              });
 }
 
 } // namespace cardamombay::claims
--- a/src/claims/claim_record.hpp
+++ b/src/claims/claim_record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief One claim under way: the data and the actions of charts/claim.toml.
+/// \brief State and actions of one claim; the state machine is defined in charts/claim.toml.
 #pragma once
 
 #include <cardamombay/claims/claim_registry.hpp>
@@ -11,7 +11,7 @@
 
 namespace cardamombay::claims {
 
-/// \brief A caller that waits until the key is free again.
+/// \brief A claim that waits until the current claim on its key is done.
 struct WaitingClaim
 {
     ClaimRequest request_;
@@ -23,7 +23,7 @@
 class ClaimRecord : public std::enable_shared_from_this<ClaimRecord>
 {
 public:
-    ClaimRecord(ClaimRegistry &book, ClaimNumber number, ClaimRequest request,
+    ClaimRecord(ClaimRegistry &registry, ClaimNumber number, ClaimRequest request,
                 Callback<ClaimAnswer> done);
 
     static chart::Binding<ClaimRecord> binding();
@@ -40,12 +40,15 @@
     [[nodiscard]] ClaimNumber number() const { return row_.owner_.claim_; }
     [[nodiscard]] const platform::RowKey &key() const { return key_; }
 
-    /// \brief Those to call once the claim is done.
+    /// \brief Callbacks to run once the claim is done.
     std::vector<std::shared_ptr<WaitingClaim>> takeWaiters() { return std::move(waiters_); }
-    std::vector<std::function<void()>> takeReleased() { return std::move(released_); }
+    std::vector<std::function<void()>> takeReleaseCallbacks()
+    {
+        return std::move(releaseCallbacks_);
+    }
 
 private:
-    /// Handles an event and leaves the book once the claim is done.
+    /// Handles an event, and removes the claim from the registry once it is done.
     void handle(std::string_view event);
     void handleResult(RowChangeResult result);
     void answer(Result<ClaimAnswer> answer);
@@ -64,19 +67,19 @@
 
     void write(RowChange change);
 
-    ClaimRegistry &book_;
+    ClaimRegistry &registry_;
     ClaimRequest request_;
     Callback<ClaimAnswer> done_;
     platform::RowKey key_;
     ClaimRow row_;
-    RowVersion version_; ///< Of the row as this claim last wrote it.
+    RowVersion version_; ///< Version of the row as last written by this claim.
     chart::Machine<ClaimRecord> machine_;
     TimePoint startedAt_{};
     std::optional<platform::Row> taken_;
     Error lastError_;
     std::uint32_t retries_ = 0;
     std::vector<std::shared_ptr<WaitingClaim>> waiters_;
-    std::vector<std::function<void()>> released_;
+    std::vector<std::function<void()>> releaseCallbacks_;
 };
 
 } // namespace cardamombay::claims
--- a/src/claims/claim_registry.cpp
+++ b/src/claims/claim_registry.cpp
@@ -6,11 +6,11 @@
 
 namespace cardamombay::claims {
 
-ClaimRegistry::ClaimRegistry(Dependencies setting, ClaimPolicy policy, BatchPolicy batches)
-    : setting_(std::move(setting))
+ClaimRegistry::ClaimRegistry(Dependencies dependencies, ClaimPolicy policy, BatchPolicy batches)
+    : dependencies_(std::move(dependencies))
     , policy_(policy)
-    , batcher_(setting_.clock_, setting_.table_, setting_.random_,
-               platform::WriterTokens(setting_.self_, setting_.incarnation_), batches)
+    , batcher_(dependencies_.clock_, dependencies_.table_, dependencies_.random_,
+               platform::WriterTokens(dependencies_.self_, dependencies_.incarnation_), batches)
     , alive_(std::make_shared<char>())
 {
 }
@@ -21,7 +21,7 @@
 {
     const auto key = rowKeyOf(request.team_, request.key_).key_;
     if (const auto found = records_.find(key); found != records_.end()) {
-        answerLocal(*found->second, request, std::move(done));
+        answerFromRecord(*found->second, request, std::move(done));
         return;
     }
     lastClaim_ = lastClaim_.next();
@@ -43,18 +43,18 @@
     if (const auto record = find(claim))
         record->release(std::move(done));
     else if (done)
-        setting_.clock_.schedule(Duration::zero(), std::move(done));
+        dependencies_.clock_.schedule(Duration::zero(), std::move(done));
 }
 
 void ClaimRegistry::answerLater(Callback<ClaimAnswer> done, Result<ClaimAnswer> answer)
 {
-    setting_.clock_.schedule(
+    dependencies_.clock_.schedule(
         Duration::zero(), [done = std::move(done), answer = std::move(answer)] { done(answer); });
 }
 
-/// Answers from a claim of this entry VM that is not done yet.
-void ClaimRegistry::answerLocal(ClaimRecord &record, const ClaimRequest &request,
-                                Callback<ClaimAnswer> done)
+/// Answers from a claim of this entry VM that is not yet done.
+void ClaimRegistry::answerFromRecord(ClaimRecord &record, const ClaimRequest &request,
+                                     Callback<ClaimAnswer> done)
 {
     if (record.isIn("storing") || record.isIn("held") || record.isIn("claiming")) {
         const bool isSame = record.request().key_ == request.key_
@@ -74,13 +74,13 @@
     record.addWaiter(request, std::move(done));
 }
 
-/// Answers from the row of another claim.
-void ClaimRegistry::answerRow(const ClaimRequest &request, const platform::Row &row,
-                              const Callback<ClaimAnswer> &done)
+/// Answers from a row that was written for another claim.
+void ClaimRegistry::answerFromRow(const ClaimRequest &request, const platform::Row &row,
+                                  const Callback<ClaimAnswer> &done)
 {
     if (row.version_.isNone()) {
         ++counts_.refused_;
-        done(Error(StoreUnavailable{"claim", "the row changes too fast"}));
+        done(Error(StoreUnavailable{"claim", "the conflicting claim row no longer exists"}));
         return;
     }
     auto decoded = decodeClaimRow(row.value_);
@@ -94,32 +94,32 @@
         ++counts_.mismatches_;
         done(ClaimAnswer(KeyMismatch{}));
     } else if (content.isFinished_) {
-        answerStored(std::move(content), done);
+        answerFromOutcome(std::move(content), done);
     } else {
-        done(judgeOwner(content.owner_));
+        done(answerUnfinished(content.owner_));
     }
 }
 
-void ClaimRegistry::answerStored(ClaimRow row, const Callback<ClaimAnswer> &done)
+void ClaimRegistry::answerFromOutcome(ClaimRow row, const Callback<ClaimAnswer> &done)
 {
     ++counts_.duplicates_;
     if (row.objectName_.empty()) {
         done(ClaimAnswer(Duplicate{std::move(row.stored_)}));
         return;
     }
-    setting_.objects_.fetch(row.objectName_,
-                            [stored = row.stored_, done](const Result<std::string> &body) mutable {
-                                if (isOk(body))
-                                    stored.body_ = valueOf(body);
-                                else
-                                    stored = StoredOutcome::withoutAnswer(stored.outcome_);
-                                done(ClaimAnswer(Duplicate{std::move(stored)}));
-                            });
+    dependencies_.objects_.fetch(
+        row.objectName_, [stored = row.stored_, done](const Result<std::string> &body) mutable {
+            if (isOk(body))
+                stored.body_ = valueOf(body);
+            else
+                stored = StoredOutcome::withoutAnswer(stored.outcome_);
+            done(ClaimAnswer(Duplicate{std::move(stored)}));
+        });
 }
 
-ClaimAnswer ClaimRegistry::judgeOwner(const ClaimOwner &owner)
+ClaimAnswer ClaimRegistry::answerUnfinished(const ClaimOwner &owner)
 {
-    const bool isSelf = owner.entry_ == setting_.self_;
+    const bool isSelf = owner.entry_ == dependencies_.self_;
     if (!isSelf && liveness_ && liveness_->isAlive(owner.entry_, owner.incarnation_)) {
         ++counts_.inProgress_;
         return InProgress{};
@@ -128,13 +128,13 @@
     return OutcomeUnknown{};
 }
 
-void ClaimRegistry::finish(ClaimRecord &record)
+void ClaimRegistry::removeRecord(ClaimRecord &record)
 {
     const auto waiters = record.takeWaiters();
-    const auto released = record.takeReleased();
+    const auto releaseCallbacks = record.takeReleaseCallbacks();
     keys_.erase(record.number());
     records_.erase(record.key().key_);
-    for (const auto &done : released)
+    for (const auto &done : releaseCallbacks)
         done();
     for (const auto &waiter : waiters) {
         if (std::exchange(waiter->isAnswered_, true))
--- a/src/claims/claim_row.cpp
+++ b/src/claims/claim_row.cpp
@@ -12,33 +12,33 @@
 
 namespace {
 
-std::string hexadecimal(std::uint64_t number)
+std::string toHex(std::uint64_t number)
 {
     char text[17];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(number));
     return text;
 }
 
-std::string textOf(const json::object &object, std::string_view name)
+std::string stringAt(const json::object &object, std::string_view name)
 {
     return json::value_to<std::string>(object.at(name));
 }
 
-std::string optionalTextOf(const json::object &object, std::string_view name)
+std::string optionalStringAt(const json::object &object, std::string_view name)
 {
-    return object.contains(name) ? textOf(object, name) : std::string();
+    return object.contains(name) ? stringAt(object, name) : std::string();
 }
 
 StoredOutcome readOutcome(const json::object &object)
 {
     StoredOutcome stored;
-    if (textOf(object, "outcome") == outcomes::nameOf(outcomes::Outcome::Ran))
+    if (stringAt(object, "outcome") == outcomes::nameOf(outcomes::Outcome::Ran))
         stored.outcome_ = outcomes::Outcome::Ran;
     stored.hasAnswer_ = object.contains("status");
     if (stored.hasAnswer_) {
         stored.status_ = json::value_to<std::uint32_t>(object.at("status"));
-        stored.contentType_ = textOf(object, "content_type");
-        stored.body_ = optionalTextOf(object, "body");
+        stored.contentType_ = stringAt(object, "content_type");
+        stored.body_ = optionalStringAt(object, "body");
     }
     return stored;
 }
@@ -48,8 +48,7 @@
 platform::RowKey rowKeyOf(const TeamName &team, const IdempotencyKey &key)
 {
     constexpr std::uint64_t secondSeed = 1;
-    const auto hash
-        = hexadecimal(stableHash(key.text())) + hexadecimal(stableHash(key.text(), secondSeed));
+    const auto hash = toHex(stableHash(key.text())) + toHex(stableHash(key.text(), secondSeed));
     return {std::string(claimTable), team.text() + "/" + hash};
 }
 
@@ -81,16 +80,16 @@
         const auto value = json::parse(json::string_view(text.data(), text.size()));
         const auto &object = value.as_object();
         ClaimRow row;
-        row.key_ = IdempotencyKey(textOf(object, "key"));
-        row.requestHash_ = textOf(object, "request");
-        row.owner_.entry_ = EntryId(textOf(object, "entry"));
+        row.key_ = IdempotencyKey(stringAt(object, "key"));
+        row.requestHash_ = stringAt(object, "request");
+        row.owner_.entry_ = EntryId(stringAt(object, "entry"));
         row.owner_.incarnation_
             = Incarnation(json::value_to<std::uint64_t>(object.at("incarnation")));
         row.owner_.claim_ = ClaimNumber(json::value_to<std::uint64_t>(object.at("claim")));
-        row.isFinished_ = textOf(object, "state") == "finished";
+        row.isFinished_ = stringAt(object, "state") == "finished";
         if (row.isFinished_) {
             row.stored_ = readOutcome(object);
-            row.objectName_ = optionalTextOf(object, "object");
+            row.objectName_ = optionalStringAt(object, "object");
         }
         return row;
     } catch (const std::exception &error) {
--- a/src/claims/row_batcher.cpp
+++ b/src/claims/row_batcher.cpp
@@ -37,7 +37,7 @@
 {
     urgent_ += change.isUrgent_ ? 1 : 0;
     queue_.push_back(Item{std::move(change), std::move(done)});
-    wake(queue_.size() >= policy_.maxRows_ ? Duration::zero() : policy_.batchDelay_);
+    schedulePump(queue_.size() >= policy_.maxRows_ ? Duration::zero() : policy_.batchDelay_);
 }
 
 void RowBatcher::setEntryCount(std::uint32_t count)
@@ -55,14 +55,14 @@
     refilledAt_ = now;
 }
 
-/// One credit stays back for urgent changes.
+/// Credit for one transaction is reserved for urgent changes.
 double RowBatcher::creditNeeded() const
 {
     return urgent_ > 0 || policy_.burst_ < 2 ? 1 : 2;
 }
 
-/// Runs pump() after \p delay, or earlier if that was asked for.
-void RowBatcher::wake(Duration delay)
+/// Runs pump() after \p delay, unless an earlier run is already scheduled.
+void RowBatcher::schedulePump(Duration delay)
 {
     const auto due = clock_.now() + delay;
     if (timer_ != TimerId::None && timerDue_ <= due)
@@ -79,41 +79,42 @@
 
 void RowBatcher::pump()
 {
-    expire();
+    rejectLateChanges();
     while (!queue_.empty() && inFlight_ < policy_.inFlight_) {
         refill();
         if (credit_ < creditNeeded()) {
             const double rate = policy_.writesPerSecond_ / entryCount_;
             const std::chrono::duration<double> missing((creditNeeded() - credit_) / rate);
-            wake(std::chrono::duration_cast<Duration>(missing) + std::chrono::microseconds(1));
+            schedulePump(std::chrono::duration_cast<Duration>(missing)
+                         + std::chrono::microseconds(1));
             return;
         }
-        flush();
+        sendNextBatch();
     }
 }
 
-void RowBatcher::expire()
+void RowBatcher::rejectLateChanges()
 {
     const auto now = clock_.now();
-    const auto isLate = [now](const Item &item) { return item.change_.startBefore_ <= now; };
-    if (std::none_of(queue_.begin(), queue_.end(), isLate))
+    const auto isOverdue = [now](const Item &item) { return item.change_.startBefore_ <= now; };
+    if (std::none_of(queue_.begin(), queue_.end(), isOverdue))
         return;
-    std::vector<Item> late;
+    std::vector<Item> overdue;
     std::deque<Item> rest;
     for (auto &item : queue_) {
-        if (isLate(item)) {
+        if (isOverdue(item)) {
             urgent_ -= item.change_.isUrgent_ ? 1 : 0;
-            late.push_back(std::move(item));
+            overdue.push_back(std::move(item));
         } else {
             rest.push_back(std::move(item));
         }
     }
     queue_ = std::move(rest);
-    for (const auto &item : late)
-        item.done_(Error(StoreUnavailable{"row change", "not submitted in time"}));
+    for (const auto &item : overdue)
+        item.done_(Error(StoreUnavailable{"row change", "not submitted before its deadline"}));
 }
 
-void RowBatcher::flush()
+void RowBatcher::sendNextBatch()
 {
     auto batch = std::make_shared<std::vector<Item>>();
     const auto count = std::min(queue_.size(), policy_.maxRows_);
@@ -136,11 +137,12 @@
     credit_ -= 1;
     ++inFlight_;
     ++counts_.transactions_;
-    commit_.commit(std::move(transaction),
-                   [this, batch](const Result<CommitReceipt> &result) { judge(batch, result); });
+    commit_.commit(std::move(transaction), [this, batch](const Result<CommitReceipt> &result) {
+        handleCommitResult(batch, result);
+    });
 }
 
-void RowBatcher::judge(const Batch &batch, const Result<CommitReceipt> &result)
+void RowBatcher::handleCommitResult(const Batch &batch, const Result<CommitReceipt> &result)
 {
     if (!isOk(result)) {
         if (const auto *conflict = std::get_if<StoreConflict>(&errorOf(result))) {
@@ -158,7 +160,7 @@
             item.done_(errorOf(result));
         }
     }
-    wake(Duration::zero());
+    schedulePump(Duration::zero());
 }
 
 void RowBatcher::readConflicts(const Batch &batch, const StoreConflict &conflict)
@@ -171,15 +173,16 @@
         if (alive.expired())
             return;
         --inFlight_;
-        split(batch, conflict, isOk(result) ? valueOf(result) : std::vector<Row>{});
+        resolveConflicts(batch, conflict, isOk(result) ? valueOf(result) : std::vector<Row>{});
     });
 }
 
-/// A read may be stale, a conflict never is: only a higher version proves a conflict, and absence
-/// proves one only where the store itself reported it. The rest goes alone and at once, on credit
-/// of the next batch, so that no fresh loser can hold it up again.
-void RowBatcher::split(const Batch &batch, const StoreConflict &conflict,
-                       const std::vector<Row> &rows)
+/// Reads may be stale, reported conflicts are not. A row read therefore shows a conflict only if
+/// its version is higher than expected, and an absent row only if the store reported it as absent.
+/// The changes without a conflict are sent at once, on the credit of the next batch and without
+/// newly queued changes, so that a new conflict cannot delay them again.
+void RowBatcher::resolveConflicts(const Batch &batch, const StoreConflict &conflict,
+                                  const std::vector<Row> &rows)
 {
     auto rest = std::make_shared<std::vector<Item>>();
     for (auto &item : *batch) {
@@ -199,7 +202,7 @@
     }
     if (!rest->empty())
         send(rest);
-    wake(Duration::zero());
+    schedulePump(Duration::zero());
 }
 
 void RowBatcher::requeue(Item item)
