--- a/include/cardamombay/outcomes/attempt.hpp
+++ b/include/cardamombay/outcomes/attempt.hpp
@@ -1,9 +1,10 @@
 /// \file
-/// \brief One attempt: how far its bytes went and which outcome follows.
-/// \details Decides what may be told of a request and what of an answer may be passed on. It does
-/// no input or output: the connection tells it what happened and asks before it sends or passes
-/// on. The transitions stand in charts/attempt.toml. Guards that an answer belongs to its request
-/// and is whole, and that "not run" is said only of what did not run.
+/// \brief State machine of one attempt to send a request to an endpoint.
+/// \details Determines the outcome of the attempt and which parts of the response may be passed on.
+/// It performs no I/O: the connection reports events to it, and asks it before sending the request
+/// or passing on data. The state machine is defined in charts/attempt.toml. It ensures that a
+/// response belongs to its request and is complete, and that "not-run" is reported only for a
+/// request that did not run.
 #pragma once
 
 #include <cardamombay/chart/machine.hpp>
@@ -16,43 +17,43 @@
 
 class Attempt;
 
-/// \brief The chart of attempts with its code, shared by all attempts.
+/// \brief The attempt state machine with its actions bound, shared by all attempts.
 using AttemptProgramPtr = chart::ProgramPtr<Attempt>;
 
-/// \brief Binds charts/attempt.toml; done once at start.
+/// \brief Binds actions to charts/attempt.toml; called once at startup.
 [[nodiscard]] Result<AttemptProgramPtr> makeAttemptProgram(const chart::Chart &chart);
 
-/// \brief What of a response head concerns the attempt.
+/// \brief The parts of a response head that an attempt uses.
 struct ResponseHead
 {
     std::uint32_t status_ = 0;
-    std::string_view attemptId_; ///< Echoed; empty if absent.
-    bool isNotRun_ = false;      ///< It carries the not-run header.
+    std::string_view attemptId_; ///< As echoed by the endpoint; empty if absent.
+    bool isNotRun_ = false;      ///< The head contains notRunHeader.
 };
 
-/// \brief Parts of answers that were not passed on, by kind.
+/// \brief Number of dropped response parts, by reason.
 struct DroppedAnswers
 {
-    std::uint32_t late_ = 0;      ///< Arrived after the attempt was settled.
-    std::uint32_t crossed_ = 0;   ///< Of another attempt.
-    std::uint32_t missingId_ = 0; ///< Without an attempt id.
+    std::uint32_t late_ = 0;      ///< Arrived after the attempt had ended.
+    std::uint32_t crossed_ = 0;   ///< Carried the id of another attempt.
+    std::uint32_t missingId_ = 0; ///< Carried no attempt id.
     std::uint32_t duplicate_ = 0;
-    std::uint32_t truncated_ = 0; ///< Ended without the end marker, or has a gap.
+    std::uint32_t truncated_ = 0; ///< Ended without the end marker or had a gap.
 
     DroppedAnswers &operator+=(const DroppedAnswers &other);
     friend bool operator==(const DroppedAnswers &, const DroppedAnswers &) = default;
 };
 
-/// \brief Result of a settled attempt.
+/// \brief Result of an attempt.
 struct AttemptResult
 {
     Outcome outcome_ = Outcome::Unknown;
     Cause cause_ = Cause::None;
-    bool mayRetry_ = false;    ///< Another attempt cannot run a non-idempotent request twice.
-    bool needsCancel_ = false; ///< The endpoint may still work on it: cancel it there.
+    bool mayRetry_ = false;    ///< A retry cannot run a non-idempotent request twice.
+    bool needsCancel_ = false; ///< The endpoint may still be running it; cancel it there.
 };
 
-/// \brief State of one attempt.
+/// \brief One attempt to run a request at an endpoint.
 /// \code
 /// Attempt attempt(program, makeAttemptId(request, 1, incarnation), {.isIdempotent_ = false});
 /// attempt.connectStarted();
@@ -68,40 +69,41 @@
 
     [[nodiscard]] const AttemptId &id() const { return id_; }
 
-    /// \name Events before the answer
+    /// \name Events before the response
     /// \{
     void connectStarted() { handle("connect-started"); }
     void connectFailed() { handle("connect-failed"); }
 
-    /// \brief Asks whether the first byte may be written; call it right before the write.
-    /// \returns true once; false if the attempt is settled or was started already, and then
-    /// nothing may be written.
+    /// \brief Asks for permission to write the first byte; call right before the write.
+    /// \returns true at most once. False if the attempt has ended or sending has already started;
+    /// nothing may be written then.
     [[nodiscard]] bool startSending();
     /// \}
 
-    /// \name Events of the answer
+    /// \name Events of the response
     /// \{
 
-    /// \brief Takes a response head.
-    /// \returns true if the answer belongs to the attempt and may be passed on.
+    /// \brief Handles a response head.
+    /// \returns true if the response belongs to this attempt and may be passed on.
     [[nodiscard]] bool takeHead(const ResponseHead &head);
 
-    /// \brief Takes a part of a body that carries no attempt id.
+    /// \brief Handles a part of a response body, which carries no attempt id.
     /// \returns true if it may be passed on.
     [[nodiscard]] bool takeData();
 
-    /// \brief Takes a stream event.
+    /// \brief Handles a stream event.
     /// \param id the attempt id in the event; empty if absent.
     /// \returns true if it may be passed on.
     [[nodiscard]] bool takeEvent(std::string_view id);
 
-    /// \brief The answer is whole: its end marker came, or the length that its head declared.
+    /// \brief The response is complete: the end marker, or the declared content length, was
+    /// received.
     void endMarker() { handle("end-marker"); }
 
-    /// \brief An event is missing or the answer is malformed.
+    /// \brief A stream event is missing or the response is malformed.
     void streamBroken() { handle("stream-broken"); }
 
-    /// \brief Counts an event that was already passed on.
+    /// \brief Counts a repeated event, which is dropped.
     void countDuplicate() { ++dropped_.duplicate_; }
     /// \}
 
@@ -113,18 +115,18 @@
     void groupLost() { handle("group-lost"); }
     /// \}
 
-    /// \brief True if the outcome does not change any more.
+    /// \brief Returns true if the attempt has ended, so that its outcome is final.
     [[nodiscard]] bool isSettled() const { return cause_ != Cause::None; }
 
-    /// \brief The outcome if nothing else happened.
+    /// \brief Outcome if the attempt ended now.
     [[nodiscard]] Outcome outcome() const;
 
-    /// \brief The result; before the attempt is settled, of stopping now.
+    /// \brief Result of the attempt; if it has not ended, the result if it ended now.
     [[nodiscard]] AttemptResult verdict() const;
 
     [[nodiscard]] const DroppedAnswers &dropped() const { return dropped_; }
 
-    /// \brief Status of the response head; zero if none was accepted.
+    /// \brief Status of the accepted response head; zero if none was accepted.
     [[nodiscard]] std::uint32_t status() const { return status_; }
 
 private:
--- a/include/cardamombay/outcomes/outcome.hpp
+++ b/include/cardamombay/outcomes/outcome.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief What became of a request, and what its caller is told.
-/// \details Decides which outcome a cause allows. It guards the promise that "not run" is said only
-/// of a request that no endpoint ran; what is in doubt is unknown.
+/// \brief Outcome of a request, and the error that is reported to its caller.
+/// \details "not-run" is reported only for a request that no endpoint ran; if in doubt, the outcome
+/// is "unknown".
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -14,27 +14,27 @@
 
 /// \brief Header that carries the attempt id to the endpoint and back.
 inline constexpr std::string_view attemptIdHeader = "X-Attempt-Id";
-/// \brief Header by which an endpoint says that it ran nothing.
+/// \brief Header with which an endpoint reports that it did not run the request.
 inline constexpr std::string_view notRunHeader = "X-Not-Run";
-/// \brief Header that tells the caller the outcome.
+/// \brief Header that reports the outcome to the caller.
 inline constexpr std::string_view outcomeHeader = "X-Outcome";
 
-/// \brief What is known of a request's effect.
+/// \brief Whether a request is known to have run.
 enum class Outcome {
-    NotRun, ///< No byte has left, or the endpoint said that it ran nothing.
-    Ran,    ///< The endpoint answered, and the answer is whole.
-    Unknown ///< Bytes may have left and no whole answer came.
+    NotRun, ///< No byte was sent, or the endpoint reported that it did not run the request.
+    Ran,    ///< The endpoint sent a complete response.
+    Unknown ///< Bytes may have been sent, but no complete response was received.
 };
 
-/// \brief Wire name: "not-run", "ran" or "unknown".
+/// \brief Name on the wire: "not-run", "ran" or "unknown".
 [[nodiscard]] std::string_view nameOf(Outcome outcome);
 
-/// \brief What settled an attempt.
+/// \brief What ended an attempt.
 enum class Cause {
-    None, ///< Not settled yet.
+    None, ///< The attempt has not ended.
     Complete,
     ConnectFailed,
-    Refused, ///< By the endpoint.
+    Refused, ///< The endpoint refused the request.
     ForeignAnswer,
     BrokenAnswer,
     ClosedEarly,
@@ -43,10 +43,10 @@
     GroupLost
 };
 
-/// \brief Name for logs and metrics, such as "closed-early".
+/// \brief Name in logs and metrics, such as "closed-early".
 [[nodiscard]] std::string_view nameOf(Cause cause);
 
-/// \brief Content of the problem body for a request that failed.
+/// \brief Content of the problem details body of a failed request.
 struct CallerMessage
 {
     std::uint32_t status_ = 502; ///< HTTP status.
@@ -56,18 +56,18 @@
     std::string remedy_;
 };
 
-/// \brief Which promises a request needs; decides what the remedy says.
+/// \brief Whether a request can be repeated safely; determines the remedy text.
 struct RequestSafety
 {
     bool isIdempotent_ = true;
-    bool hasKey_ = false; ///< It came with an Idempotency-Key.
+    bool hasKey_ = false; ///< The request has an Idempotency-Key header.
 };
 
-/// \brief What the caller is told if no further attempt is made.
+/// \brief Describes the failure to the caller, if no further attempt is made.
 [[nodiscard]] CallerMessage describe(Outcome outcome, Cause cause, RequestSafety safety);
 
-/// \brief Attempt id "request.number.incarnation", unique over restarts of the entry VM.
-/// \param number counts the attempts of the request, from 1.
+/// \brief Returns the attempt id "request.number.incarnation", unique across entry VM restarts.
+/// \param number number of the attempt for this request, starting at 1.
 [[nodiscard]] AttemptId makeAttemptId(const RequestId &request, std::uint32_t number,
                                       Incarnation incarnation);
 
--- a/include/cardamombay/outcomes/stream_continuity.hpp
+++ b/include/cardamombay/outcomes/stream_continuity.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief A caller's stream over one or more attempts: each token once, none missing.
-/// \details Decides which events are passed on and how a stream goes on after its attempt failed.
-/// It guards that a stream is whole only with its end marker.
+/// \brief Delivers a stream to its caller over one or more attempts, each token exactly once.
+/// \details Decides which events are passed on and how a stream continues after an attempt failed.
+/// A stream is complete only once its end marker was received.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -11,26 +11,26 @@
 
 namespace cardamombay::outcomes {
 
-/// \brief What to do with an event of a stream.
+/// \brief How to handle a stream event.
 enum class Acceptance {
     Deliver,
-    Duplicate, ///< Was passed on already; drop it.
-    Gap,       ///< Events before it are missing; the attempt is broken.
-    Foreign    ///< Not of the present attempt, or behind the end; drop it.
+    Duplicate, ///< Already passed on; drop it.
+    Gap,       ///< Earlier events are missing; the attempt has failed.
+    Foreign    ///< From another attempt, or after the end; drop it.
 };
 
-/// \brief How a stream goes on after its attempt failed.
+/// \brief How a stream continues after its attempt failed.
 enum class Continuation {
-    Resume,  ///< On the candidate, behind the last token that was passed on.
-    Restart, ///< From the beginning; the caller has received nothing.
-    Fail     ///< Not possible; tell the caller.
+    Resume,  ///< On the candidate, after the last token that was passed on.
+    Restart, ///< From the beginning; the caller has received no token.
+    Fail     ///< Cannot continue; report an error to the caller.
 };
 
-/// \brief What of a request decides whether its stream may go on elsewhere.
+/// \brief Properties of a request that determine whether its stream can continue elsewhere.
 struct StreamTraits
 {
     bool isIdempotent_ = true;
-    endpoint::ModelSpec model_; ///< The model the stream began with.
+    endpoint::ModelSpec model_; ///< The model that the stream started on.
     bool hasSeed_ = false;      ///< The sampling seed is fixed, by the caller or by the entry VM.
 };
 
@@ -40,44 +40,44 @@
 /// stream.begin(first);
 /// stream.accept(first, 0);                                 // Deliver
 /// stream.continuation(model, false);                       // Resume
-/// stream.begin(second);                                    // asks for resume_from 1
+/// stream.begin(second);                                    // requested with resume_from 1
 /// stream.accept(second, 1);                                // Deliver
-/// stream.end(second);                                      // true: the stream is whole
+/// stream.end(second);                                      // true: the stream is complete
 /// \endcode
 class StreamContinuity
 {
 public:
     explicit StreamContinuity(StreamTraits traits);
 
-    /// \brief Makes \p attempt the present one; events of earlier ones are foreign from now on.
-    /// \details Its first event is expected at nextIndex().
+    /// \brief Makes \p attempt the current one; events of earlier attempts are foreign from now on.
+    /// \details Its first event must have the index nextIndex().
     void begin(const AttemptId &attempt);
 
-    /// \brief Judges the event number \p index of \p attempt.
+    /// \brief Decides how to handle the event with number \p index of \p attempt.
     [[nodiscard]] Acceptance accept(const AttemptId &attempt, std::uint64_t index);
 
-    /// \brief Takes the end marker of \p attempt.
-    /// \returns true if the stream is now whole; false if the marker is foreign.
+    /// \brief Handles the end marker of \p attempt.
+    /// \returns true if the stream is now complete; false if the marker is not accepted.
     [[nodiscard]] bool end(const AttemptId &attempt);
 
-    /// \brief Number of tokens passed on; what a resumed attempt asks for as resume_from.
+    /// \brief Number of tokens passed on; sent as resume_from by a resumed attempt.
     [[nodiscard]] std::uint64_t nextIndex() const { return nextIndex_; }
 
-    /// \brief True once the end marker was taken.
+    /// \brief Returns true once the end marker was accepted.
     [[nodiscard]] bool isWhole() const { return isWhole_; }
 
-    /// \brief How the stream can go on at a group that serves \p candidate.
-    /// \param candidate the model there.
-    /// \param hasRunNothing the failed attempt's outcome was not-run.
+    /// \brief Decides how the stream can continue on a group that serves \p candidate.
+    /// \param candidate the model that the group serves.
+    /// \param wasNotRun true if the outcome of the failed attempt was not-run.
     [[nodiscard]] Continuation continuation(const endpoint::ModelSpec &candidate,
-                                            bool hasRunNothing) const;
+                                            bool wasNotRun) const;
 
 private:
     StreamTraits traits_;
     AttemptId attempt_;
     std::uint64_t nextIndex_ = 0;
     bool isWhole_ = false;
-    bool isBroken_ = false; ///< The present attempt has a gap.
+    bool isBroken_ = false; ///< The current attempt has a gap.
 };
 
 } // namespace cardamombay::outcomes
--- a/src/outcomes/attempt.cpp
+++ b/src/outcomes/attempt.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// States that code asks about.
+/// States that the code queries.
 constexpr std::string_view sentState = "sent";
 constexpr std::string_view answeringState = "answering";
 constexpr std::string_view ranState = "ran";
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t firstServerError = 500;
 
-/// The cause that an event is when it settles an attempt.
+/// Cause recorded if \p event ends an attempt.
 Cause causeOf(std::string_view event)
 {
     if (event == "end-marker")
@@ -80,10 +80,10 @@
 
 bool Attempt::takeHead(const ResponseHead &head)
 {
-    const bool isOurs = head.attemptId_ == id_.text();
+    const bool isMatching = head.attemptId_ == id_.text();
     isIdMissing_ = head.attemptId_.empty();
     const bool wasAnswering = machine_.isIn(answeringState);
-    if (!isOurs)
+    if (!isMatching)
         handle("head-foreign");
     else if (head.isNotRun_)
         handle("refused");
@@ -122,11 +122,11 @@
 
 AttemptResult Attempt::verdict() const
 {
-    const Outcome present = outcome();
-    const bool hasFailed = present == Outcome::Unknown || status_ >= firstServerError;
-    const bool isWanted = cause_ != Cause::CallerGone;
-    const bool isSafe = present == Outcome::NotRun || (safety_.isIdempotent_ && hasFailed);
-    return {present, cause_, isWanted && isSafe, needsCancel_};
+    const Outcome current = outcome();
+    const bool hasFailed = current == Outcome::Unknown || status_ >= firstServerError;
+    const bool isCallerPresent = cause_ != Cause::CallerGone;
+    const bool isRepeatable = current == Outcome::NotRun || (safety_.isIdempotent_ && hasFailed);
+    return {current, cause_, isCallerPresent && isRepeatable, needsCancel_};
 }
 
 void Attempt::handle(std::string_view event)
--- a/src/outcomes/stream_continuity.cpp
+++ b/src/outcomes/stream_continuity.cpp
@@ -38,16 +38,16 @@
 }
 
 Continuation StreamContinuity::continuation(const endpoint::ModelSpec &candidate,
-                                            bool hasRunNothing) const
+                                            bool wasNotRun) const
 {
     if (isWhole_)
         return Continuation::Fail;
-    if (!traits_.isIdempotent_ && !hasRunNothing)
+    if (!traits_.isIdempotent_ && !wasNotRun)
         return Continuation::Fail;
     if (nextIndex_ == 0)
         return Continuation::Restart;
-    const bool isAlike = candidate == traits_.model_ && traits_.hasSeed_;
-    return isAlike ? Continuation::Resume : Continuation::Fail;
+    const bool isCompatible = candidate == traits_.model_ && traits_.hasSeed_;
+    return isCompatible ? Continuation::Resume : Continuation::Fail;
 }
 
 } // namespace cardamombay::outcomes
