--- a/tests/claims/claim_expiry.cpp
+++ b/tests/claims/claim_expiry.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// Entry VMs that watch the periods: 1 hour each, 3 kept.
-struct Watchers
+/// Entry VMs that run the expiry with periods of 1 hour, 3 of which are kept.
+struct ExpiryFixture
 {
-    explicit Watchers(std::size_t count)
+    explicit ExpiryFixture(std::size_t count)
     {
         for (std::size_t i = 0; i < count; ++i)
             add();
@@ -61,70 +61,70 @@
 
 Test(claim_expiry, claim_is_kept_for_all_kept_periods_and_then_deleted)
 {
-    Watchers watchers(3);
-    watchers.clock_.advance(minutes(30));
+    ExpiryFixture fixture(3);
+    fixture.clock_.advance(minutes(30));
     for (const char *key : {"a", "b", "c", "d", "e"})
-        watchers.putClaim(key);
+        fixture.putClaim(key);
 
-    watchers.clock_.advance(hours(3));
-    cr_assert(watchers.hasClaim("a") && watchers.hasClaim("e"));
+    fixture.clock_.advance(hours(3));
+    cr_assert(fixture.hasClaim("a") && fixture.hasClaim("e"));
 
-    watchers.clock_.advance(hours(3));
-    cr_assert_not(watchers.hasClaim("a"));
-    cr_assert_not(watchers.hasClaim("e"));
+    fixture.clock_.advance(hours(3));
+    cr_assert_not(fixture.hasClaim("a"));
+    cr_assert_not(fixture.hasClaim("e"));
 }
 
 Test(claim_expiry, periods_are_begun_once_however_many_watch)
 {
-    Watchers watchers(7);
+    ExpiryFixture fixture(7);
 
-    watchers.clock_.advance(hours(10));
+    fixture.clock_.advance(hours(10));
 
-    cr_assert_leq(watchers.number(), 11);
-    cr_assert_geq(watchers.number(), 7);
+    cr_assert_leq(fixture.number(), 11);
+    cr_assert_geq(fixture.number(), 7);
 }
 
 Test(claim_expiry, restarting_entries_never_shorten_a_period)
 {
-    Watchers watchers(2);
-    watchers.clock_.advance(minutes(30));
-    watchers.putClaim("a");
+    ExpiryFixture fixture(2);
+    fixture.clock_.advance(minutes(30));
+    fixture.putClaim("a");
     for (int i = 0; i < 18; ++i) {
-        watchers.clock_.advance(minutes(10));
-        watchers.watchers_.clear();
-        watchers.add();
-        watchers.add();
-        watchers.watchers_.front()->start();
+        fixture.clock_.advance(minutes(10));
+        fixture.watchers_.clear();
+        fixture.add();
+        fixture.add();
+        fixture.watchers_.front()->start();
     }
 
-    cr_assert(watchers.hasClaim("a"));
-    cr_assert_leq(watchers.number(), 2);
+    cr_assert(fixture.hasClaim("a"));
+    cr_assert_leq(fixture.number(), 2);
 }
 
 Test(claim_expiry, claim_that_ended_late_is_kept_from_its_end)
 {
-    Watchers watchers(2);
-    watchers.clock_.advance(minutes(30));
-    watchers.putClaim("a");
-    watchers.clock_.advance(hours(3));
-    watchers.putClaim("a");
+    ExpiryFixture fixture(2);
+    fixture.clock_.advance(minutes(30));
+    fixture.putClaim("a");
+    fixture.clock_.advance(hours(3));
+    fixture.putClaim("a");
 
-    watchers.clock_.advance(hours(3));
+    fixture.clock_.advance(hours(3));
 
-    cr_assert(watchers.hasClaim("a"));
+    cr_assert(fixture.hasClaim("a"));
 }
 
 Test(claim_expiry, lost_answer_begins_one_period_and_outage_deletes_nothing)
 {
-    Watchers watchers(1);
-    watchers.platform_.faults_.loseNextAnswers_ = 1;
-    watchers.clock_.advance(minutes(20));
-    cr_assert_eq(watchers.number(), 1);
-    watchers.putClaim("a");
+    ExpiryFixture fixture(1);
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
+    fixture.clock_.advance(minutes(20));
+    cr_assert_eq(fixture.number(), 1);
+    fixture.putClaim("a");
 
-    watchers.platform_.faults_.isDown_ = true;
-    watchers.clock_.advance(hours(20));
+    fixture.platform_.faults_.isDown_ = true;
+    fixture.clock_.advance(hours(20));
 
-    cr_assert(watchers.hasClaim("a"));
-    cr_assert_eq(watchers.number(), 1);
+    cr_assert(fixture.hasClaim("a"));
+    cr_assert_eq(fixture.number(), 1);
 }
--- a/tests/claims/claim_registry.cpp
+++ b/tests/claims/claim_registry.cpp
@@ -7,7 +7,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-Test(claim_book, stored_outcome_is_returned_to_a_second_caller_at_another_entry)
+Test(claim_registry, stored_outcome_is_returned_to_a_second_caller_at_another_entry)
 {
     Fleet fleet;
     const auto first = fleet.claim(0, "booking-1");
@@ -24,7 +24,7 @@
     cr_assert_eq(fleet.book(0).openClaims(), 0);
 }
 
-Test(claim_book, long_answer_goes_through_the_object_store)
+Test(claim_registry, long_answer_goes_through_the_object_store)
 {
     Fleet fleet;
     const std::string body(5000, 'x');
@@ -40,7 +40,7 @@
     cr_assert(contentOf<Duplicate>(second).stored_ == ranWith(body));
 }
 
-Test(claim_book, second_caller_during_the_run_is_told_in_progress)
+Test(claim_registry, second_caller_during_the_run_is_told_in_progress)
 {
     Fleet fleet;
     fleet.claim(0, "booking-1");
@@ -54,7 +54,7 @@
     cr_assert(holds<InProgress>(other));
 }
 
-Test(claim_book, claim_of_a_dead_entry_is_unknown_and_never_granted_again)
+Test(claim_registry, claim_of_a_failed_entry_is_unknown_and_never_granted_again)
 {
     Fleet fleet;
     const auto first = fleet.claim(0, "booking-1");
@@ -69,7 +69,7 @@
     cr_assert(holds<OutcomeUnknown>(second));
 }
 
-Test(claim_book, key_used_for_another_request_is_a_mismatch)
+Test(claim_registry, key_used_for_another_request_is_a_mismatch)
 {
     Fleet fleet;
     fleet.claim(0, "booking-1");
@@ -83,13 +83,13 @@
     cr_assert(holds<KeyMismatch>(remote));
 }
 
-Test(claim_book, teams_do_not_share_keys)
+Test(claim_registry, teams_do_not_share_keys)
 {
     cr_assert(rowKeyOf(TeamName("a"), IdempotencyKey("k"))
               != rowKeyOf(TeamName("b"), IdempotencyKey("k")));
 }
 
-Test(claim_book, released_key_may_be_claimed_again)
+Test(claim_registry, released_key_may_be_claimed_again)
 {
     Fleet fleet;
     const auto first = fleet.claim(0, "booking-1");
@@ -108,7 +108,7 @@
     cr_assert(holds<Granted>(elsewhere));
 }
 
-Test(claim_book, concurrent_claims_at_two_entries_grant_one)
+Test(claim_registry, concurrent_claims_at_two_entries_grant_one)
 {
     Fleet fleet;
 
@@ -120,7 +120,7 @@
     cr_assert_eq(holds<InProgress>(one) + holds<InProgress>(two), 1);
 }
 
-Test(claim_book, losers_of_a_batch_do_not_hold_up_the_others)
+Test(claim_registry, conflicts_in_a_batch_do_not_delay_other_changes)
 {
     Fleet fleet;
     std::vector<std::shared_ptr<Fleet::Answer>> taken;
@@ -142,7 +142,7 @@
     cr_assert_eq(fleet.book(1).batchCounts().transactions_, 2);
 }
 
-Test(claim_book, pause_between_claim_and_hand_over_forbids_the_hand_over)
+Test(claim_registry, pause_between_claim_and_hand_over_forbids_the_hand_over)
 {
     Fleet fleet;
     const auto answer = fleet.claim(0, "booking-1");
@@ -155,7 +155,7 @@
     cr_assert_not(granted.mayHandOver(fleet.clock_.now()));
 }
 
-Test(claim_book, answer_over_the_kept_size_is_dropped_but_not_the_outcome)
+Test(claim_registry, answer_over_the_size_limit_is_dropped_but_not_the_outcome)
 {
     ClaimPolicy policy;
     policy.keptBytes_ = 10;
--- a/tests/claims/fault_matrix.cpp
+++ b/tests/claims/fault_matrix.cpp
@@ -1,4 +1,5 @@
-// Every fault at every step of a keyed request, with a second caller at each entry VM.
+// Injects each fault at each step of a request with an idempotency key, then repeats the request at
+// each entry VM. Guards against a key that runs twice, or is reported as run although it did not.
 #include "claims/fleet.hpp"
 
 #include <string>
@@ -14,42 +15,42 @@
 
 enum class Fault { None, LostAnswer, LostRequest, Outage, SlowStore, Pause, Crash, Last };
 enum class Step { Claiming, Held, Ending, Ended, Last };
-enum class End { Ran, Unknown, NotRun, Last };
+enum class RequestEnd { Ran, Unknown, NotRun, Last };
 
-/// One request at entry 0 with a fault at one step, then a second caller.
-class Passage
+/// One request at entry VM 0 with a fault at one step, then a second caller.
+class FaultScenario
 {
 public:
-    Passage(Fault fault, Step step, End end, std::size_t secondAt)
+    FaultScenario(Fault fault, Step step, RequestEnd end, std::size_t secondAt)
         : fault_(fault)
         , step_(step)
-        , end_(end)
+        , requestEnd_(end)
         , secondAt_(secondAt)
     {
     }
 
     void run()
     {
-        at(Step::Claiming);
+        setFault(Step::Claiming);
         first_ = fleet_.claim(0, "key");
         fleet_.clock_.advance(milliseconds(4));
-        beginCrash(Step::Claiming);
+        crashAt(Step::Claiming);
         fleet_.clock_.advance(seconds(4));
-        at(Step::Held);
-        beginCrash(Step::Held);
+        setFault(Step::Held);
+        crashAt(Step::Held);
         handOver();
-        at(Step::Ending);
+        setFault(Step::Ending);
         finish();
         fleet_.clock_.advance(milliseconds(4));
-        beginCrash(Step::Ending);
+        crashAt(Step::Ending);
         fleet_.clock_.advance(seconds(4));
-        at(Step::Ended);
-        beginCrash(Step::Ended);
+        setFault(Step::Ended);
+        crashAt(Step::Ended);
 
-        const auto early = callAgain();
+        const auto early = repeatCall();
         fleet_.faults() = {};
         fleet_.clock_.advance(seconds(60));
-        const auto late = callAgain();
+        const auto late = repeatCall();
         check(early);
         check(late);
         cr_assert_leq(runs_, 1, "%s: ran twice", name().c_str());
@@ -60,11 +61,12 @@
     {
         return "fault " + std::to_string(static_cast<int>(fault_)) + " at step "
                + std::to_string(static_cast<int>(step_)) + " end "
-               + std::to_string(static_cast<int>(end_)) + " second at " + std::to_string(secondAt_);
+               + std::to_string(static_cast<int>(requestEnd_)) + " second at "
+               + std::to_string(secondAt_);
     }
 
-    /// A fault lasts until the next step.
-    void at(Step step)
+    /// Sets the fault if \p step is the chosen one; it lasts until the next step.
+    void setFault(Step step)
     {
         auto &faults = fleet_.faults();
         faults = {};
@@ -79,7 +81,7 @@
             fleet_.clock_.jump(seconds(60));
     }
 
-    void beginCrash(Step step)
+    void crashAt(Step step)
     {
         if (step == step_ && fault_ == Fault::Crash)
             fleet_.kill(0);
@@ -93,8 +95,8 @@
             return;
         const auto &granted = contentOf<Granted>(first_);
         if (!granted.mayHandOver(fleet_.clock_.now()))
-            end_ = End::NotRun;
-        else if (end_ != End::NotRun)
+            requestEnd_ = RequestEnd::NotRun;
+        else if (requestEnd_ != RequestEnd::NotRun)
             ++runs_;
     }
 
@@ -103,16 +105,16 @@
         if (!isFirstAlive() || !holds<Granted>(first_))
             return;
         const auto claim = contentOf<Granted>(first_).claim_;
-        if (end_ == End::NotRun)
+        if (requestEnd_ == RequestEnd::NotRun)
             fleet_.book(0).release(claim);
-        else if (end_ == End::Ran)
+        else if (requestEnd_ == RequestEnd::Ran)
             fleet_.book(0).complete(claim, ranWith("answer"));
         else
             fleet_.book(0).complete(claim,
                                     StoredOutcome::withoutAnswer(outcomes::Outcome::Unknown));
     }
 
-    std::shared_ptr<Fleet::Answer> callAgain()
+    std::shared_ptr<Fleet::Answer> repeatCall()
     {
         const auto at = isFirstAlive() ? secondAt_ : 1;
         const auto answer = fleet_.claim(at, "key");
@@ -131,13 +133,13 @@
             return;
         const auto &stored = contentOf<Duplicate>(answer).stored_;
         const bool isRan = stored.outcome_ == outcomes::Outcome::Ran;
-        cr_assert(!isRan || runs_ == 1, "%s: ran told of what did not run", name().c_str());
-        cr_assert(!isRan || stored.body_ == "answer", "%s: answer lost", name().c_str());
+        cr_assert(!isRan || runs_ == 1, "%s: reported as run, but did not run", name().c_str());
+        cr_assert(!isRan || stored.body_ == "answer", "%s: wrong response body", name().c_str());
     }
 
     Fault fault_;
     Step step_;
-    End end_;
+    RequestEnd requestEnd_;
     std::size_t secondAt_;
     Fleet fleet_;
     std::shared_ptr<Fleet::Answer> first_;
@@ -157,9 +159,9 @@
 {
     forEach<Fault>([](Fault fault) {
         forEach<Step>([fault](Step step) {
-            forEach<End>([fault, step](End end) {
+            forEach<RequestEnd>([fault, step](RequestEnd end) {
                 for (const std::size_t second : {0U, 1U})
-                    Passage(fault, step, end, second).run();
+                    FaultScenario(fault, step, end, second).run();
             });
         });
     });
--- a/tests/claims/fleet.hpp
+++ b/tests/claims/fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Several entry VMs' claim books before one platform, and a count of the runs.
+/// \brief Claim registries of several entry VMs that share one fake platform.
 #pragma once
 
 #include <cardamombay/claims/claim_registry.hpp>
@@ -16,8 +16,8 @@
 
 namespace cardamombay::claims {
 
-/// \brief Knows which entry VMs a test left running.
-class KnownEntries final : public EntryLiveness
+/// \brief Liveness of the entry VMs as set by the test.
+class FakeLiveness final : public EntryLiveness
 {
 public:
     std::set<EntryId> alive_;
@@ -38,7 +38,7 @@
 /// \brief One entry VM.
 struct Entry
 {
-    Entry(Clock &clock, support::FakePlatform &platform, const KnownEntries &known,
+    Entry(Clock &clock, support::FakePlatform &platform, const FakeLiveness &liveness,
           std::uint64_t number, ClaimPolicy policy = {}, BatchPolicy batches = {})
         : table_(platform)
         , objects_(platform)
@@ -48,7 +48,7 @@
                                           EntryId("e" + std::to_string(number)), Incarnation(1)},
               policy, batches))
     {
-        book_->setLiveness(&known);
+        book_->setLiveness(&liveness);
     }
 
     support::FakeTableStore table_;
@@ -57,22 +57,22 @@
     std::unique_ptr<ClaimRegistry> book_;
 };
 
-/// \brief Entry VMs e1, e2, ... and what their callers saw.
+/// \brief Entry VMs e1, e2, ... with a shared clock and store.
 struct Fleet
 {
     explicit Fleet(std::size_t size = 2, ClaimPolicy policy = {}, BatchPolicy batches = {})
     {
         for (std::size_t i = 1; i <= size; ++i) {
-            known_.alive_.insert(EntryId("e" + std::to_string(i)));
+            liveness_.alive_.insert(EntryId("e" + std::to_string(i)));
             entries_.push_back(
-                std::make_unique<Entry>(clock_, platform_, known_, i, policy, batches));
+                std::make_unique<Entry>(clock_, platform_, liveness_, i, policy, batches));
             entries_.back()->book_->setEntryCount(static_cast<std::uint32_t>(size));
         }
     }
 
     using Answer = std::optional<Result<ClaimAnswer>>;
 
-    /// \brief Claims at entry \p at; the answer appears when the clock is advanced.
+    /// \brief Claims \p key at entry VM \p at; the answer is set when the clock is advanced.
     std::shared_ptr<Answer> claim(std::size_t at, const std::string &key,
                                   const std::string &request = "body")
     {
@@ -86,16 +86,16 @@
     [[nodiscard]] bool isAlive(std::size_t at) const { return entries_[at]->book_ != nullptr; }
     support::StoreFaults &faults() { return platform_.faults_; }
 
-    /// \brief The entry VM vanishes with all it knew; what it has sent is still under way.
+    /// \brief Destroys the entry VM and its state; requests it has already sent still take effect.
     void kill(std::size_t at)
     {
-        known_.alive_.erase(EntryId("e" + std::to_string(at + 1)));
+        liveness_.alive_.erase(EntryId("e" + std::to_string(at + 1)));
         entries_[at]->book_.reset();
     }
 
     ManualClock clock_;
     support::FakePlatform platform_{clock_};
-    KnownEntries known_;
+    FakeLiveness liveness_;
     std::vector<std::unique_ptr<Entry>> entries_;
 };
 
--- a/tests/claims/random_faults.cpp
+++ b/tests/claims/random_faults.cpp
@@ -1,4 +1,5 @@
-// Random faults, callers and deaths: a key runs at most once, and a refused caller's did not run.
+// Random store faults, pauses and callers. Guards against a key that runs twice, or is reported as
+// run although it did not.
 #include "claims/fleet.hpp"
 
 #include <criterion/criterion.h>
@@ -12,11 +13,11 @@
 constexpr std::size_t entries = 3;
 constexpr std::uint64_t keys = 6;
 
-/// One seeded run of callers against a store with changing faults.
-class Soak
+/// One seeded run of callers while the faults of the store change.
+class RandomRun
 {
 public:
-    explicit Soak(std::uint64_t seed)
+    explicit RandomRun(std::uint64_t seed)
         : random_(seed)
         , seed_(seed)
         , fleet_(entries)
@@ -37,8 +38,8 @@
         fleet_.clock_.advance(std::chrono::minutes(5));
     }
 
-    /// Runs that were granted and handed over in the end.
-    std::map<std::string, int> runs_;
+    /// Number of hand-overs by key.
+    std::map<std::string, int> handOvers_;
     std::uint64_t granted_ = 0;
 
 private:
@@ -74,15 +75,16 @@
         fleet_.book(at).claim({TeamName("t"), IdempotencyKey(key), "body"},
                               [this, at, key](const Result<ClaimAnswer> &answer) {
                                   if (isOk(answer))
-                                      take(at, key, valueOf(answer));
+                                      handleAnswer(at, key, valueOf(answer));
                               });
     }
 
-    void take(std::size_t at, const std::string &key, const ClaimAnswer &answer)
+    void handleAnswer(std::size_t at, const std::string &key, const ClaimAnswer &answer)
     {
         if (const auto *duplicate = std::get_if<Duplicate>(&answer)) {
-            cr_assert_eq(duplicate->stored_.body_, key, "seed %lu: another's answer", seed_);
-            cr_assert_eq(runs_[key], 1, "seed %lu: ran told of what did not run", seed_);
+            cr_assert_eq(duplicate->stored_.body_, key, "seed %lu: response of another request",
+                         seed_);
+            cr_assert_eq(handOvers_[key], 1, "seed %lu: reported as run, but did not run", seed_);
         }
         const auto *granted = std::get_if<Granted>(&answer);
         if (!granted)
@@ -93,7 +95,7 @@
             fleet_.book(at).release(claim);
             return;
         }
-        cr_assert_eq(++runs_[key], 1, "seed %lu: %s ran twice", seed_, key.c_str());
+        cr_assert_eq(++handOvers_[key], 1, "seed %lu: %s ran twice", seed_, key.c_str());
         fleet_.clock_.schedule(milliseconds(random_.below(200)), [this, at, claim, key] {
             fleet_.book(at).complete(claim, ranWith(key));
         });
@@ -111,9 +113,9 @@
 {
     std::uint64_t granted = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        Soak soak(seed);
-        soak.run();
-        granted += soak.granted_;
+        RandomRun randomRun(seed);
+        randomRun.run();
+        granted += randomRun.granted_;
     }
     cr_assert_gt(granted, 300);
 }
--- a/tests/claims/store_faults.cpp
+++ b/tests/claims/store_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of the store at each step of a claim.
+// Store outages, delays and lost messages at each step of a claim.
 #include "claims/fleet.hpp"
 
 #include <criterion/criterion.h>
@@ -36,7 +36,7 @@
     cr_assert_eq(fleet.platform_.commits_, 1);
 }
 
-Test(claim_faults, other_claim_won_after_a_lost_request_is_not_taken_for_ours)
+Test(claim_faults, other_claim_after_a_lost_request_is_not_mistaken_for_own)
 {
     Fleet fleet;
     fleet.faults().losesRequests_ = true;
