--- a/tests/outcomes/attempt.cpp
+++ b/tests/outcomes/attempt.cpp
@@ -29,7 +29,7 @@
             RequestSafety{isIdempotent, false}};
 }
 
-ResponseHead ourHead(std::uint32_t status = 200)
+ResponseHead matchingHead(std::uint32_t status = 200)
 {
     return {status, id, false};
 }
@@ -39,7 +39,7 @@
     auto attempt = makeAttempt(isIdempotent);
     attempt.connectStarted();
     cr_assert(attempt.startSending());
-    cr_assert(attempt.takeHead(ourHead()));
+    cr_assert(attempt.takeHead(matchingHead()));
     return attempt;
 }
 
@@ -132,7 +132,7 @@
     cr_assert_not(attempt.takeData());
 }
 
-Test(attempt, whole_answer_is_ran)
+Test(attempt, complete_response_is_ran)
 {
     auto attempt = makeAnswering();
     cr_assert(attempt.takeEvent(id));
@@ -170,7 +170,7 @@
 {
     auto attempt = makeAnswering();
 
-    cr_assert_not(attempt.takeHead(ourHead()));
+    cr_assert_not(attempt.takeHead(matchingHead()));
 
     cr_assert_eq(attempt.dropped().duplicate_, 1);
     cr_assert(attempt.outcome() == Outcome::Unknown);
@@ -182,7 +182,7 @@
     cr_assert(attempt.startSending());
     attempt.timedOut();
 
-    cr_assert_not(attempt.takeHead(ourHead()));
+    cr_assert_not(attempt.takeHead(matchingHead()));
     cr_assert_not(attempt.takeEvent(id));
     attempt.endMarker();
 
@@ -195,7 +195,7 @@
     for (const bool isIdempotent : {true, false}) {
         auto attempt = makeAttempt(isIdempotent);
         cr_assert(attempt.startSending());
-        cr_assert(attempt.takeHead(ourHead(500)));
+        cr_assert(attempt.takeHead(matchingHead(500)));
         attempt.endMarker();
 
         cr_assert(attempt.verdict().outcome_ == Outcome::Ran);
--- a/tests/outcomes/attempt_matrix.cpp
+++ b/tests/outcomes/attempt_matrix.cpp
@@ -1,4 +1,4 @@
-// Every event in every state of charts/attempt.toml, then every event once more.
+// Checks the outcome after every sequence of four events of charts/attempt.toml.
 #include <cardamombay/outcomes/attempt.hpp>
 
 #include <functional>
@@ -43,8 +43,8 @@
     return steps;
 }
 
-/// What an observer outside knows of an attempt, to judge its verdicts by.
-struct Observer
+/// Model of an attempt, tracked independently to check its results against.
+struct AttemptModel
 {
     bool hasSent_ = false;
     bool hasHead_ = false;
@@ -66,12 +66,12 @@
                   trace_.c_str());
         if (wasSettled)
             cr_assert(attempt.outcome() == before, "outcome changed:%s", trace_.c_str());
-        note(event, isSent, isPassedOn, wasSettled);
-        judge(attempt, event);
+        recordEvent(event, isSent, isPassedOn, wasSettled);
+        checkResult(attempt, event);
     }
 
 private:
-    void note(const std::string &event, bool isSent, bool isPassedOn, bool wasSettled)
+    void recordEvent(const std::string &event, bool isSent, bool isPassedOn, bool wasSettled)
     {
         hasSent_ = hasSent_ || isSent;
         isForeign_ = isForeign_ || event.ends_with("foreign");
@@ -80,7 +80,7 @@
         hasHead_ = hasHead_ || (event == "head-matching" && isPassedOn);
     }
 
-    void judge(const Attempt &attempt, const std::string &event) const
+    void checkResult(const Attempt &attempt, const std::string &event) const
     {
         const auto verdict = attempt.verdict();
         const bool mayHaveRun = hasSent_ && !isRefused_;
@@ -96,7 +96,7 @@
 
 } // namespace
 
-Test(attempt_matrix, every_sequence_of_four_events_keeps_the_promises)
+Test(attempt_matrix, every_sequence_of_four_events_gives_a_valid_outcome)
 {
     const auto chart = chart::ChartFolder(SOURCE_FOLDER "/charts").load("attempt");
     cr_assert(isOk(chart));
@@ -111,11 +111,11 @@
         total *= events.size();
     for (std::size_t number = 0; number < total; ++number) {
         Attempt attempt(valueOf(program), AttemptId(id), RequestSafety{false, false});
-        Observer observer;
+        AttemptModel model;
         std::size_t rest = number;
         for (std::size_t i = 0; i < length; ++i, rest /= events.size()) {
             const auto &event = events[rest % events.size()];
-            observer.apply(attempt, event, steps.at(event));
+            model.apply(attempt, event, steps.at(event));
         }
     }
 }
--- a/tests/outcomes/reliable_commit.cpp
+++ b/tests/outcomes/reliable_commit.cpp
@@ -16,7 +16,7 @@
 
 const RowKey key{"leases", "d1"};
 
-struct Bench
+struct CommitFixture
 {
     ManualClock clock_;
     support::FakePlatform platform_{clock_};
@@ -26,7 +26,7 @@
     ReliableCommit commit_{clock_, store_, random_};
     std::optional<Result<CommitReceipt>> answer_;
 
-    Transaction take(const std::string &value)
+    Transaction makeWrite(const std::string &value)
     {
         const Row *row = platform_.row(key);
         return {tokens_.next(), {{key, row ? row->version_ : RowVersion{}}}, {{key, value}}};
@@ -44,7 +44,7 @@
     }
 };
 
-/// Throttles the first commit for three seconds.
+/// Table store that throttles the first commit for three seconds.
 class ThrottlingStore final : public TableStore
 {
 public:
@@ -92,123 +92,123 @@
 
 Test(reliable_commit, lost_answer_after_the_effect_is_found_by_the_token)
 {
-    Bench bench;
-    bench.platform_.faults_.loseNextAnswers_ = 1;
+    CommitFixture fixture;
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
 
-    bench.start(bench.take("mine"));
-    bench.clock_.advance(seconds(1));
+    fixture.start(fixture.makeWrite("mine"));
+    fixture.clock_.advance(seconds(1));
 
-    cr_assert(isOk(*bench.answer_));
-    cr_assert_eq(bench.platform_.commits_, 1);
-    cr_assert(valueOf(*bench.answer_).version_ == bench.platform_.row(key)->version_);
+    cr_assert(isOk(*fixture.answer_));
+    cr_assert_eq(fixture.platform_.commits_, 1);
+    cr_assert(valueOf(*fixture.answer_).version_ == fixture.platform_.row(key)->version_);
 }
 
 Test(reliable_commit, lost_request_is_carried_out_by_the_retry)
 {
-    Bench bench;
-    bench.platform_.faults_.losesRequests_ = true;
-    bench.start(bench.take("mine"));
-    bench.clock_.advance(milliseconds(100));
-    cr_assert_not(bench.answer_.has_value());
+    CommitFixture fixture;
+    fixture.platform_.faults_.losesRequests_ = true;
+    fixture.start(fixture.makeWrite("mine"));
+    fixture.clock_.advance(milliseconds(100));
+    cr_assert_not(fixture.answer_.has_value());
 
-    bench.platform_.faults_.losesRequests_ = false;
-    bench.clock_.advance(seconds(1));
+    fixture.platform_.faults_.losesRequests_ = false;
+    fixture.clock_.advance(seconds(1));
 
-    cr_assert(isOk(*bench.answer_));
-    cr_assert_eq(bench.platform_.commits_, 1);
+    cr_assert(isOk(*fixture.answer_));
+    cr_assert_eq(fixture.platform_.commits_, 1);
 }
 
 Test(reliable_commit, conflict_without_a_lost_answer_is_a_conflict)
 {
-    Bench bench;
-    auto transaction = bench.take("mine");
-    bench.overwrite("other.1.1");
+    CommitFixture fixture;
+    auto transaction = fixture.makeWrite("mine");
+    fixture.overwrite("other.1.1");
 
-    bench.start(std::move(transaction));
-    bench.clock_.advance(seconds(1));
+    fixture.start(std::move(transaction));
+    fixture.clock_.advance(seconds(1));
 
-    cr_assert(isError<StoreConflict>(*bench.answer_));
+    cr_assert(isError<StoreConflict>(*fixture.answer_));
 }
 
 Test(reliable_commit, row_replaced_after_a_lost_answer_stays_unknown)
 {
-    Bench bench;
-    bench.platform_.faults_.loseNextAnswers_ = 1;
-    bench.start(bench.take("mine"));
-    bench.clock_.advance(milliseconds(5));
-    bench.overwrite("other.1.1");
+    CommitFixture fixture;
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
+    fixture.start(fixture.makeWrite("mine"));
+    fixture.clock_.advance(milliseconds(5));
+    fixture.overwrite("other.1.1");
 
-    bench.clock_.advance(seconds(1));
+    fixture.clock_.advance(seconds(1));
 
-    cr_assert(isError<StoreAnswerLost>(*bench.answer_));
-    cr_assert_eq(bench.commit_.counts().unresolved_, 1);
+    cr_assert(isError<StoreAnswerLost>(*fixture.answer_));
+    cr_assert_eq(fixture.commit_.counts().unresolved_, 1);
 }
 
 Test(reliable_commit, another_row_of_the_transaction_can_prove_the_effect)
 {
-    Bench bench;
-    bench.platform_.faults_.loseNextAnswers_ = 1;
-    auto transaction = bench.take("mine");
+    CommitFixture fixture;
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
+    auto transaction = fixture.makeWrite("mine");
     transaction.writes_.push_back({{"vms", "vm-1"}, "mine"});
-    bench.start(std::move(transaction));
-    bench.clock_.advance(milliseconds(5));
-    bench.overwrite("other.1.1");
+    fixture.start(std::move(transaction));
+    fixture.clock_.advance(milliseconds(5));
+    fixture.overwrite("other.1.1");
 
-    bench.clock_.advance(seconds(1));
+    fixture.clock_.advance(seconds(1));
 
-    cr_assert(isOk(*bench.answer_));
+    cr_assert(isOk(*fixture.answer_));
 }
 
-Test(reliable_commit, outage_after_a_lost_answer_is_waited_out)
+Test(reliable_commit, commit_with_a_lost_answer_completes_after_an_outage)
 {
-    Bench bench;
-    bench.platform_.faults_.loseNextAnswers_ = 1;
-    bench.start(bench.take("mine"));
-    bench.clock_.advance(milliseconds(6));
-    bench.platform_.faults_.isDown_ = true;
-    bench.clock_.advance(seconds(3));
-    cr_assert_not(bench.answer_.has_value());
-
-    bench.platform_.faults_.isDown_ = false;
-    bench.clock_.advance(seconds(3));
-
-    cr_assert(isOk(*bench.answer_));
+    CommitFixture fixture;
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
+    fixture.start(fixture.makeWrite("mine"));
+    fixture.clock_.advance(milliseconds(6));
+    fixture.platform_.faults_.isDown_ = true;
+    fixture.clock_.advance(seconds(3));
+    cr_assert_not(fixture.answer_.has_value());
+
+    fixture.platform_.faults_.isDown_ = false;
+    fixture.clock_.advance(seconds(3));
+
+    cr_assert(isOk(*fixture.answer_));
 }
 
 Test(reliable_commit, deadline_after_a_lost_answer_gives_unknown_not_unavailable)
 {
-    Bench bench;
-    bench.platform_.faults_.loseNextAnswers_ = 1;
-    bench.start(bench.take("mine"));
-    bench.clock_.advance(milliseconds(6));
-    bench.platform_.faults_.isDown_ = true;
+    CommitFixture fixture;
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
+    fixture.start(fixture.makeWrite("mine"));
+    fixture.clock_.advance(milliseconds(6));
+    fixture.platform_.faults_.isDown_ = true;
 
-    bench.clock_.advance(seconds(20));
+    fixture.clock_.advance(seconds(20));
 
-    cr_assert(isError<StoreAnswerLost>(*bench.answer_));
+    cr_assert(isError<StoreAnswerLost>(*fixture.answer_));
 }
 
 Test(reliable_commit, outage_without_a_lost_answer_is_reported_at_once)
 {
-    Bench bench;
-    bench.platform_.faults_.isDown_ = true;
+    CommitFixture fixture;
+    fixture.platform_.faults_.isDown_ = true;
 
-    bench.start(bench.take("mine"));
-    bench.clock_.advance(milliseconds(6));
+    fixture.start(fixture.makeWrite("mine"));
+    fixture.clock_.advance(milliseconds(6));
 
-    cr_assert(isError<StoreUnavailable>(*bench.answer_));
+    cr_assert(isError<StoreUnavailable>(*fixture.answer_));
 }
 
 Test(reliable_commit, transaction_that_could_take_effect_twice_is_refused)
 {
-    Bench bench;
+    CommitFixture fixture;
 
-    bench.start({bench.tokens_.next(), {}, {{key, "mine"}}});
-    cr_assert_not(bench.answer_.has_value());
-    bench.clock_.runDue();
+    fixture.start({fixture.tokens_.next(), {}, {{key, "mine"}}});
+    cr_assert_not(fixture.answer_.has_value());
+    fixture.clock_.runDue();
 
-    cr_assert(isError<InvalidInput>(*bench.answer_));
-    cr_assert_eq(bench.platform_.commits_, 0);
+    cr_assert(isError<InvalidInput>(*fixture.answer_));
+    cr_assert_eq(fixture.platform_.commits_, 0);
 }
 
 Test(reliable_commit, throttled_commit_waits_as_long_as_the_store_asks)
--- a/tests/outcomes/stream_continuity.cpp
+++ b/tests/outcomes/stream_continuity.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Test(stream_continuity, resumed_stream_is_whole_without_a_doubled_or_missing_token)
+Test(stream_continuity, resumed_stream_is_complete_without_repeated_or_missing_tokens)
 {
     auto stream = makeStream();
     deliver(stream, first, 3);
