--- a/tests/support/run_ledger.cpp
+++ b/tests/support/run_ledger.cpp
@@ -21,11 +21,11 @@
     return "runs:" + text;
 }
 
-/// Compares one call with its runs.
-class Comparison
+/// Compares calls with the runs at the endpoints.
+class LedgerComparison
 {
 public:
-    explicit Comparison(std::span<const RunRecord> runs)
+    explicit LedgerComparison(std::span<const RunRecord> runs)
     {
         for (const auto &run : runs) {
             byMark_[run.callId_].push_back(&run);
@@ -34,63 +34,64 @@
         }
     }
 
-    void check(const CallRecord &told)
+    void check(const CallRecord &call)
     {
-        const auto &runs = byMark_[told.callId_];
-        if (told.isNonIdempotent_ && runs.size() > 1)
-            add(LedgerFault::Doubled, told, attemptsOf(runs));
-        if (told.outcome_ == "not-run" && !runs.empty())
-            add(LedgerFault::RanAnyway, told, attemptsOf(runs));
-        if (told.status_ == 200)
-            checkSuccess(told, runs);
-        else if (told.status_ != 0 && told.isWhole_ && told.outcome_.empty())
-            add(LedgerFault::NoOutcome, told, "status " + std::to_string(told.status_));
+        const auto &runs = byMark_[call.callId_];
+        if (call.isNonIdempotent_ && runs.size() > 1)
+            add(ViolationKind::Doubled, call, attemptsOf(runs));
+        if (call.outcome_ == "not-run" && !runs.empty())
+            add(ViolationKind::RanAnyway, call, attemptsOf(runs));
+        if (call.status_ == 200)
+            checkSuccess(call, runs);
+        else if (call.status_ != 0 && call.isWhole_ && call.outcome_.empty())
+            add(ViolationKind::NoOutcome, call, "status " + std::to_string(call.status_));
     }
 
-    void checkKey(const CallRecord &told)
+    void checkKey(const CallRecord &call)
     {
-        const bool isCounted = told.isNonIdempotent_ && !told.idempotencyKey_.empty()
-                               && seenKeys_.insert(told.idempotencyKey_).second;
+        const bool isCounted = call.isNonIdempotent_ && !call.idempotencyKey_.empty()
+                               && seenKeys_.insert(call.idempotencyKey_).second;
         if (!isCounted)
             return;
-        const auto &runs = byKey_[told.idempotencyKey_];
+        const auto &runs = byKey_[call.idempotencyKey_];
         if (runs.size() > 1)
-            add(LedgerFault::Doubled, told, "key " + told.idempotencyKey_ + " " + attemptsOf(runs));
+            add(ViolationKind::Doubled, call,
+                "key " + call.idempotencyKey_ + " " + attemptsOf(runs));
     }
 
-    [[nodiscard]] std::vector<LedgerFinding> take() { return std::move(findings_); }
+    [[nodiscard]] std::vector<LedgerViolation> takeViolations() { return std::move(violations_); }
 
 private:
-    void checkSuccess(const CallRecord &told, const std::vector<const RunRecord *> &runs)
+    void checkSuccess(const CallRecord &call, const std::vector<const RunRecord *> &runs)
     {
-        if (!told.isWhole_ || told.hasErrorEvent_)
-            return; // The caller sees that it broke off.
-        const auto &sameKey = byKey_[told.idempotencyKey_];
-        if (!told.hasEnd_)
-            add(LedgerFault::Truncated, told, "no end after '" + told.text_ + "'");
-        else if (told.text_ == told.expected_)
-            checkRecorded(told, !runs.empty() || !sameKey.empty());
-        else if (told.expected_.starts_with(told.text_))
-            add(LedgerFault::Truncated, told, "only '" + told.text_ + "'");
+        if (!call.isWhole_ || call.hasErrorEvent_)
+            return; // The caller can see that the response is incomplete.
+        const auto &sameKey = byKey_[call.idempotencyKey_];
+        if (!call.hasEnd_)
+            add(ViolationKind::Truncated, call, "no end marker after '" + call.text_ + "'");
+        else if (call.text_ == call.expected_)
+            checkWasRun(call, !runs.empty() || !sameKey.empty());
+        else if (call.expected_.starts_with(call.text_))
+            add(ViolationKind::Truncated, call, "only '" + call.text_ + "'");
         else
-            add(LedgerFault::Crossed, told, "got '" + told.text_ + "'");
+            add(ViolationKind::Crossed, call, "got '" + call.text_ + "'");
     }
 
-    void checkRecorded(const CallRecord &told, bool isRecorded)
+    void checkWasRun(const CallRecord &call, bool wasRun)
     {
-        if (!isRecorded)
-            add(LedgerFault::Unrecorded, told, "no endpoint ran it");
+        if (!wasRun)
+            add(ViolationKind::Unrecorded, call, "no endpoint ran it");
     }
 
-    void add(LedgerFault fault, const CallRecord &told, std::string detail)
+    void add(ViolationKind kind, const CallRecord &call, std::string detail)
     {
-        findings_.push_back({fault, told.callId_, std::move(detail)});
+        violations_.push_back({kind, call.callId_, std::move(detail)});
     }
 
     RunsByName byMark_;
     RunsByName byKey_;
     std::set<std::string> seenKeys_;
-    std::vector<LedgerFinding> findings_;
+    std::vector<LedgerViolation> violations_;
 };
 
 std::string textAt(const json::object &object, std::string_view key)
@@ -115,7 +116,8 @@
                             {"attempt", record.attempt_},
                             {"mark", record.callId_},
                             {"idempotency_key", record.idempotencyKey_}};
-    out_ << json::serialize(line) << std::endl; // Flushed: a kill may come at once.
+    out_ << json::serialize(line)
+         << std::endl; // Flushed, since the process may be killed at any time.
 }
 
 std::vector<RunRecord> RunLedgerFile::read(const std::filesystem::path &path)
@@ -134,41 +136,41 @@
     return records;
 }
 
-std::vector<LedgerFinding> compareLedgers(std::span<const RunRecord> runs,
-                                          std::span<const CallRecord> told)
+std::vector<LedgerViolation> compareLedgers(std::span<const RunRecord> runs,
+                                            std::span<const CallRecord> calls)
 {
-    Comparison comparison(runs);
-    for (const auto &record : told) {
+    LedgerComparison comparison(runs);
+    for (const auto &record : calls) {
         comparison.check(record);
         comparison.checkKey(record);
     }
-    return comparison.take();
+    return comparison.takeViolations();
 }
 
-std::string describe(std::span<const LedgerFinding> findings)
+std::string describe(std::span<const LedgerViolation> violations)
 {
     std::string text;
-    for (const auto &finding : findings) {
-        text += std::string(nameOf(finding.fault_)) + " " + finding.callId_ + ": " + finding.detail_
-                + "\n";
+    for (const auto &violation : violations) {
+        text += std::string(nameOf(violation.kind_)) + " " + violation.callId_ + ": "
+                + violation.detail_ + "\n";
     }
     return text;
 }
 
-std::string_view nameOf(LedgerFault fault)
+std::string_view nameOf(ViolationKind kind)
 {
-    switch (fault) {
-    case LedgerFault::Doubled:
+    switch (kind) {
+    case ViolationKind::Doubled:
         return "doubled";
-    case LedgerFault::RanAnyway:
+    case ViolationKind::RanAnyway:
         return "ran-anyway";
-    case LedgerFault::Truncated:
+    case ViolationKind::Truncated:
         return "truncated";
-    case LedgerFault::Crossed:
+    case ViolationKind::Crossed:
         return "crossed";
-    case LedgerFault::Unrecorded:
+    case ViolationKind::Unrecorded:
         return "unrecorded";
-    case LedgerFault::NoOutcome:
+    case ViolationKind::NoOutcome:
         return "no-outcome";
     }
     return "unknown";
--- a/tests/support/run_ledger.hpp
+++ b/tests/support/run_ledger.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief What endpoints ran, on file, and what callers were told; and the check of one against
-/// the other.
+/// \brief Records of the requests that endpoints ran and the responses that callers received, and a
+/// check that the two are consistent.
 #pragma once
 
 #include <cstdint>
@@ -13,74 +13,75 @@
 
 namespace cardamombay::support {
 
-/// \brief One run of a request at an endpoint, noted before it starts.
+/// \brief One run of a request at an endpoint, recorded before it starts.
 struct RunRecord
 {
     std::string vm_;
     std::string attempt_;
-    std::string callId_; ///< The caller's mark: field "user", or the body of a plain call.
+    std::string callId_; ///< Field "user" of the request, or the body of a plain call.
     std::string idempotencyKey_;
 };
 
-/// \brief Appends runs to a file, so that they outlive the process when it is killed.
+/// \brief Appends run records to a file, so that they are kept if the process is killed.
 class RunLedgerFile
 {
 public:
     RunLedgerFile() = default;
 
-    /// \brief Notes nothing if \p path is empty.
+    /// \brief Opens the file; nothing is recorded if \p path is empty.
     explicit RunLedgerFile(const std::string &path);
 
     void append(const RunRecord &record);
 
-    /// \brief Records of a file; a last line cut by a kill is left out.
+    /// \brief Reads the records of a file; skips malformed lines, such as a truncated last one.
     [[nodiscard]] static std::vector<RunRecord> read(const std::filesystem::path &path);
 
 private:
     std::ofstream out_;
 };
 
-/// \brief What one caller sent and was told.
+/// \brief One request of a caller and the response that it received.
 struct CallRecord
 {
     std::string callId_; ///< Unique for each call.
     std::string idempotencyKey_;
     bool isNonIdempotent_ = false;
-    std::uint32_t status_ = 0;   ///< Zero if no answer came.
+    std::uint32_t status_ = 0;   ///< Zero if no response was received.
     std::string outcome_;        ///< "ran", "not-run", "unknown" or empty.
-    bool isWhole_ = false;       ///< The response ended as HTTP says it must.
-    bool hasEnd_ = false;        ///< With the end marker, if it was a stream.
-    bool hasErrorEvent_ = false; ///< A stream that said it failed.
+    bool isWhole_ = false;       ///< The HTTP response was complete.
+    bool hasEnd_ = false;        ///< For a stream: the end marker was received.
+    bool hasErrorEvent_ = false; ///< The stream contained an error event.
     std::string text_;
-    std::string expected_; ///< The one right answer.
+    std::string expected_; ///< The only correct response text.
 };
 
-/// \brief A broken promise that the ledgers show.
-enum class LedgerFault {
-    Doubled,    ///< A non-idempotent request, or one idempotency key, ran more than once.
-    RanAnyway,  ///< Told not-run, but an endpoint ran it.
-    Truncated,  ///< Looked like a success, but the answer is not whole.
-    Crossed,    ///< Whole, but not the answer to this request.
-    Unrecorded, ///< Told success, but no endpoint ran it.
-    NoOutcome   ///< Answered with an error that says nothing of the outcome.
+/// \brief Kind of inconsistency between the records.
+enum class ViolationKind {
+    Doubled,    ///< A non-idempotent request or an idempotency key ran more than once.
+    RanAnyway,  ///< Reported as not-run, but an endpoint ran it.
+    Truncated,  ///< Reported as a success, but the response is incomplete.
+    Crossed,    ///< Complete, but not the response to this request.
+    Unrecorded, ///< Reported as a success, but no endpoint ran it.
+    NoOutcome   ///< Error response without an outcome.
 };
 
-/// \brief One finding of compareLedgers().
-struct LedgerFinding
+/// \brief One inconsistency found by compareLedgers().
+struct LedgerViolation
 {
-    LedgerFault fault_;
+    ViolationKind kind_;
     std::string callId_;
     std::string detail_;
 };
 
-/// \brief Checks what callers were told against what endpoints ran.
-/// \details Calls without an answer are no finding: their callers know that the outcome is unknown.
-[[nodiscard]] std::vector<LedgerFinding> compareLedgers(std::span<const RunRecord> runs,
-                                                        std::span<const CallRecord> told);
+/// \brief Checks the responses that callers received against the runs at the endpoints.
+/// \details A call without a response is no violation in itself: its caller knows that the outcome
+/// is unknown.
+[[nodiscard]] std::vector<LedgerViolation> compareLedgers(std::span<const RunRecord> runs,
+                                                          std::span<const CallRecord> calls);
 
-/// \brief One line for each finding.
-[[nodiscard]] std::string describe(std::span<const LedgerFinding> findings);
+/// \brief Describes the violations, one per line.
+[[nodiscard]] std::string describe(std::span<const LedgerViolation> violations);
 
-[[nodiscard]] std::string_view nameOf(LedgerFault fault);
+[[nodiscard]] std::string_view nameOf(ViolationKind kind);
 
 } // namespace cardamombay::support
