--- a/include/cardamombay/claims/claim.hpp
+++ b/include/cardamombay/claims/claim.hpp
@@ -89,13 +89,13 @@
 /// \brief Time and size limits of claims.
 struct ClaimPolicy
 {
-    Duration claimDeadline_ = std::chrono::seconds(2);   ///< Maximum wait for a claim.
-    Duration handOverWithin_ = std::chrono::seconds(30); ///< Measured from the start of the claim.
-    Duration retryDelay_ = std::chrono::seconds(2);      ///< Between attempts to write an outcome.
-    std::uint32_t retries_ = 43200; ///< For an outcome or a release; one day in total.
+    Duration claimTimeout_ = std::chrono::seconds(2);     ///< Maximum wait for a claim.
+    Duration handOverTimeout_ = std::chrono::seconds(30); ///< Measured from the start of the claim.
+    Duration retryDelay_ = std::chrono::seconds(2);       ///< Between attempts to write an outcome.
+    std::uint32_t maxRetries_ = 43200; ///< For an outcome or a release; one day in total.
     Duration checkDelay_ = std::chrono::seconds(5); ///< Before a row in doubt is read back.
-    std::size_t inlineBytes_ = 2048;                ///< Longer bodies go to the object store.
-    std::size_t keptBytes_ = 1U << 20U;             ///< Longer bodies are discarded.
+    std::size_t maxInlineBytes_ = 2048;             ///< Longer bodies go to the object store.
+    std::size_t maxStoredBytes_ = 1U << 20U;        ///< Longer bodies are discarded.
 };
 
 /// \brief Counters for metrics.
--- a/include/cardamombay/claims/row_batcher.hpp
+++ b/include/cardamombay/claims/row_batcher.hpp
@@ -56,7 +56,7 @@
     std::size_t maxRows_ = 100;    ///< Maximum changes per transaction.
     std::uint32_t inFlight_ = 2;   ///< Maximum concurrent transactions of one entry VM.
     Duration batchDelay_ = std::chrono::milliseconds(2); ///< Time to collect further changes.
-    std::uint32_t conflicts_ = 8; ///< Maximum attempts if the conflicting row cannot be read.
+    std::uint32_t maxConflicts_ = 8; ///< Maximum attempts if the conflicting row cannot be read.
     platform::CommitPolicy commit_{.deadline_ = std::chrono::seconds(2),
                                    .isWriterSoleOwner_ = true};
 };
--- a/src/claims/claim_record.cpp
+++ b/src/claims/claim_record.cpp
@@ -27,7 +27,7 @@
     binding.events({"written", "taken", "not-written", "effect-unknown", "timed-out", "completed",
                     "not-run", "answer-kept", "retry-due", "found-own", "found-other"});
     binding.guard("retries-left", [](const ClaimRecord &record) {
-        return record.retries_ < record.registry_.policy_.retries_;
+        return record.retries_ < record.registry_.policy_.maxRetries_;
     });
     binding.action("grant", [](ClaimRecord &record) { record.grant(); });
     binding.action("answer-taken", [](ClaimRecord &record) { record.answerTaken(); });
@@ -64,7 +64,7 @@
 {
     auto &clock = registry_.dependencies_.clock_;
     startedAt_ = clock.now();
-    const Duration limit = registry_.policy_.claimDeadline_;
+    const Duration limit = registry_.policy_.claimTimeout_;
     write({key_, version_, encode(row_), startedAt_ + limit});
     clock.schedule(limit, [record = weak_from_this(), alive = std::weak_ptr(registry_.alive_)] {
         const auto self = record.lock();
@@ -96,7 +96,7 @@
     auto waiter
         = std::make_shared<WaitingClaim>(WaitingClaim{std::move(request), std::move(done), false});
     waiters_.push_back(waiter);
-    const Duration limit = registry_.policy_.claimDeadline_;
+    const Duration limit = registry_.policy_.claimTimeout_;
     registry_.dependencies_.clock_.schedule(limit, [waiter] {
         if (waiter->isAnswered_)
             return;
@@ -139,7 +139,7 @@
 void ClaimRecord::grant()
 {
     ++registry_.counts_.granted_;
-    answer(ClaimAnswer(Granted{number(), startedAt_ + registry_.policy_.handOverWithin_}));
+    answer(ClaimAnswer(Granted{number(), startedAt_ + registry_.policy_.handOverTimeout_}));
 }
 
 void ClaimRecord::answerTaken()
@@ -160,9 +160,9 @@
 {
     retries_ = 0;
     auto &stored = row_.stored_;
-    if (stored.body_.size() > registry_.policy_.keptBytes_)
+    if (stored.body_.size() > registry_.policy_.maxStoredBytes_)
         stored = StoredOutcome::withoutAnswer(stored.outcome_);
-    if (stored.body_.size() <= registry_.policy_.inlineBytes_) {
+    if (stored.body_.size() <= registry_.policy_.maxInlineBytes_) {
         handle("answer-kept");
         return;
     }
--- a/src/claims/row_batcher.cpp
+++ b/src/claims/row_batcher.cpp
@@ -193,7 +193,7 @@
             item.done_(RowConflict{*row});
         else if (isReported && conflict.found_.isNone())
             item.done_(RowConflict{Row{change.key_, {}, {}, {}}});
-        else if (isReported && ++item.conflicts_ >= policy_.conflicts_)
+        else if (isReported && ++item.conflicts_ >= policy_.maxConflicts_)
             item.done_(Error(conflict));
         else if (isReported)
             requeue(std::move(item));
--- a/tests/claims/claim_registry.cpp
+++ b/tests/claims/claim_registry.cpp
@@ -158,7 +158,7 @@
 Test(claim_registry, answer_over_the_size_limit_is_dropped_but_not_the_outcome)
 {
     ClaimPolicy policy;
-    policy.keptBytes_ = 10;
+    policy.maxStoredBytes_ = 10;
     Fleet fleet(2, policy);
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
--- a/tests/claims/store_faults.cpp
+++ b/tests/claims/store_faults.cpp
@@ -181,7 +181,7 @@
 Test(claim_faults, outcome_that_cannot_be_written_leaves_the_claim_unknown)
 {
     ClaimPolicy policy;
-    policy.retries_ = 3;
+    policy.maxRetries_ = 3;
     Fleet fleet(2, policy);
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
