--- a/tests/claims/claim_registry.cpp
+++ b/tests/claims/claim_registry.cpp
@@ -13,7 +13,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     cr_assert(holds<Granted>(first));
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{\"slot\":4}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{\"slot\":4}"));
     fleet.clock_.advance(seconds(1));
 
     const auto second = fleet.claim(1, "booking-1");
@@ -21,7 +21,7 @@
 
     cr_assert(holds<Duplicate>(second));
     cr_assert(contentOf<Duplicate>(second).stored_ == ranWith("{\"slot\":4}"));
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
 }
 
 Test(claim_registry, long_answer_goes_through_the_object_store)
@@ -30,7 +30,7 @@
     const std::string body(5000, 'x');
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith(body));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith(body));
     fleet.clock_.advance(seconds(1));
     cr_assert_lt(fleet.platform_.rows().begin()->second.value_.size(), 1000);
 
@@ -95,13 +95,13 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     bool isFree = false;
-    fleet.book(0).release(contentOf<Granted>(first).claim_, [&] { isFree = true; });
+    fleet.registry(0).release(contentOf<Granted>(first).claim_, [&] { isFree = true; });
     const auto waiting = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
 
     cr_assert(isFree);
     cr_assert(holds<Granted>(waiting));
-    fleet.book(0).release(contentOf<Granted>(waiting).claim_);
+    fleet.registry(0).release(contentOf<Granted>(waiting).claim_);
     fleet.clock_.advance(seconds(1));
     const auto elsewhere = fleet.claim(1, "booking-1");
     fleet.clock_.advance(seconds(1));
@@ -139,7 +139,7 @@
         cr_assert(holds<Granted>(answer));
     for (int i = 3; i < 6; ++i)
         cr_assert(holds<InProgress>(taken[i]));
-    cr_assert_eq(fleet.book(1).batchCounts().transactions_, 2);
+    cr_assert_eq(fleet.registry(1).batchCounts().transactions_, 2);
 }
 
 Test(claim_registry, pause_between_claim_and_hand_over_forbids_the_hand_over)
@@ -162,7 +162,7 @@
     Fleet fleet(2, policy);
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("longer than ten"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("longer than ten"));
     fleet.clock_.advance(seconds(1));
 
     const auto second = fleet.claim(1, "booking-1");
--- a/tests/claims/fault_matrix.cpp
+++ b/tests/claims/fault_matrix.cpp
@@ -106,12 +106,12 @@
             return;
         const auto claim = contentOf<Granted>(first_).claim_;
         if (requestEnd_ == RequestEnd::NotRun)
-            fleet_.book(0).release(claim);
+            fleet_.registry(0).release(claim);
         else if (requestEnd_ == RequestEnd::Ran)
-            fleet_.book(0).complete(claim, ranWith("answer"));
+            fleet_.registry(0).complete(claim, ranWith("answer"));
         else
-            fleet_.book(0).complete(claim,
-                                    StoredOutcome::withoutAnswer(outcomes::Outcome::Unknown));
+            fleet_.registry(0).complete(claim,
+                                        StoredOutcome::withoutAnswer(outcomes::Outcome::Unknown));
     }
 
     std::shared_ptr<Fleet::Answer> repeatCall()
@@ -121,7 +121,7 @@
         fleet_.clock_.advance(seconds(7));
         if (holds<Granted>(answer)) {
             ++runs_;
-            fleet_.book(at).complete(contentOf<Granted>(answer).claim_, ranWith("answer"));
+            fleet_.registry(at).complete(contentOf<Granted>(answer).claim_, ranWith("answer"));
         }
         return answer;
     }
--- a/tests/claims/fleet.hpp
+++ b/tests/claims/fleet.hpp
@@ -43,18 +43,18 @@
         : table_(platform)
         , objects_(platform)
         , random_(number)
-        , book_(std::make_unique<ClaimRegistry>(
+        , registry_(std::make_unique<ClaimRegistry>(
               ClaimRegistry::Dependencies{clock, table_, objects_, random_, claimProgram(),
                                           EntryId("e" + std::to_string(number)), Incarnation(1)},
               policy, batches))
     {
-        book_->setLiveness(&liveness);
+        registry_->setLiveness(&liveness);
     }
 
     support::FakeTableStore table_;
     support::FakeObjectStore objects_;
     Random random_;
-    std::unique_ptr<ClaimRegistry> book_;
+    std::unique_ptr<ClaimRegistry> registry_;
 };
 
 /// \brief Entry VMs e1, e2, ... with a shared clock and store.
@@ -66,7 +66,7 @@
             liveness_.alive_.insert(EntryId("e" + std::to_string(i)));
             entries_.push_back(
                 std::make_unique<Entry>(clock_, platform_, liveness_, i, policy, batches));
-            entries_.back()->book_->setEntryCount(static_cast<std::uint32_t>(size));
+            entries_.back()->registry_->setEntryCount(static_cast<std::uint32_t>(size));
         }
     }
 
@@ -77,20 +77,20 @@
                                   const std::string &request = "body")
     {
         auto answer = std::make_shared<Answer>();
-        book(at).claim({TeamName("wasata"), IdempotencyKey(key), request},
-                       [answer](Result<ClaimAnswer> result) { *answer = std::move(result); });
+        registry(at).claim({TeamName("wasata"), IdempotencyKey(key), request},
+                           [answer](Result<ClaimAnswer> result) { *answer = std::move(result); });
         return answer;
     }
 
-    ClaimRegistry &book(std::size_t at) { return *entries_[at]->book_; }
-    [[nodiscard]] bool isAlive(std::size_t at) const { return entries_[at]->book_ != nullptr; }
+    ClaimRegistry &registry(std::size_t at) { return *entries_[at]->registry_; }
+    [[nodiscard]] bool isAlive(std::size_t at) const { return entries_[at]->registry_ != nullptr; }
     support::StoreFaults &faults() { return platform_.faults_; }
 
     /// \brief Destroys the entry VM and its state; requests it has already sent still take effect.
     void kill(std::size_t at)
     {
         liveness_.alive_.erase(EntryId("e" + std::to_string(at + 1)));
-        entries_[at]->book_.reset();
+        entries_[at]->registry_.reset();
     }
 
     ManualClock clock_;
--- a/tests/claims/random_faults.cpp
+++ b/tests/claims/random_faults.cpp
@@ -72,11 +72,11 @@
         const auto at = random_.below(entries);
         const auto key
             = "k" + std::to_string(random_.below(keys)) + "." + std::to_string(++calls_ / 60);
-        fleet_.book(at).claim({TeamName("t"), IdempotencyKey(key), "body"},
-                              [this, at, key](const Result<ClaimAnswer> &answer) {
-                                  if (isOk(answer))
-                                      handleAnswer(at, key, valueOf(answer));
-                              });
+        fleet_.registry(at).claim({TeamName("t"), IdempotencyKey(key), "body"},
+                                  [this, at, key](const Result<ClaimAnswer> &answer) {
+                                      if (isOk(answer))
+                                          handleAnswer(at, key, valueOf(answer));
+                                  });
     }
 
     void handleAnswer(std::size_t at, const std::string &key, const ClaimAnswer &answer)
@@ -92,12 +92,12 @@
         ++granted_;
         const auto claim = granted->claim_;
         if (!granted->mayHandOver(fleet_.clock_.now()) || random_.below(4) == 0) {
-            fleet_.book(at).release(claim);
+            fleet_.registry(at).release(claim);
             return;
         }
         cr_assert_eq(++handOvers_[key], 1, "seed %lu: %s ran twice", seed_, key.c_str());
         fleet_.clock_.schedule(milliseconds(random_.below(200)), [this, at, claim, key] {
-            fleet_.book(at).complete(claim, ranWith(key));
+            fleet_.registry(at).complete(claim, ranWith(key));
         });
     }
 
--- a/tests/claims/store_faults.cpp
+++ b/tests/claims/store_faults.cpp
@@ -62,7 +62,7 @@
     fleet.clock_.advance(milliseconds(50));
 
     cr_assert(isRefused(answer));
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
     fleet.faults().isDown_ = false;
     const auto again = fleet.claim(1, "booking-1");
     fleet.clock_.advance(seconds(1));
@@ -116,7 +116,7 @@
 
     fleet.clock_.advance(seconds(10));
     cr_assert(fleet.platform_.rows().empty());
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
 }
 
 Test(claim_faults, outcome_is_written_once_an_outage_is_over)
@@ -125,7 +125,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().isDown_ = true;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
     const auto local = fleet.claim(0, "booking-1");
     const auto remote = fleet.claim(1, "booking-1");
     fleet.clock_.advance(seconds(60));
@@ -146,7 +146,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().loseNextAnswers_ = 1;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
     fleet.clock_.advance(milliseconds(9));
     fleet.faults().isDown_ = true;
     fleet.clock_.advance(seconds(30));
@@ -157,7 +157,7 @@
     fleet.clock_.advance(seconds(1));
 
     cr_assert(contentOf<Duplicate>(second).stored_ == ranWith("{}"));
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
 }
 
 Test(claim_faults, lost_object_keeps_the_outcome_without_the_answer)
@@ -166,7 +166,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().isDown_ = true;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith(std::string(5000, 'x')));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith(std::string(5000, 'x')));
     fleet.clock_.advance(seconds(3));
     fleet.faults().isDown_ = false;
     fleet.clock_.advance(seconds(3));
@@ -186,10 +186,10 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().isDown_ = true;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
     fleet.clock_.advance(seconds(60));
-    cr_assert_eq(fleet.book(0).counts().dropped_, 1);
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).counts().dropped_, 1);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
     fleet.faults().isDown_ = false;
 
     const auto second = fleet.claim(0, "booking-1");
--- a/tests/faults/claim_checks.cpp
+++ b/tests/faults/claim_checks.cpp
@@ -35,7 +35,7 @@
             return runs_ == 1;
         if (state == "releasing") {
             runs_ = 0; // The endpoint says that it ran nothing.
-            fleet_.book(0).release(number());
+            fleet_.registry(0).release(number());
             isEnded_ = true;
             return true;
         }
@@ -69,8 +69,8 @@
     void operatorRace() { other_ = fleet_.claim(1, "key"); }
     void staleOrder()
     {
-        fleet_.book(0).complete(ClaimNumber(9999), ranWith("stale"));
-        fleet_.book(0).release(ClaimNumber(9998));
+        fleet_.registry(0).complete(ClaimNumber(9999), ranWith("stale"));
+        fleet_.registry(0).release(ClaimNumber(9998));
     }
     void sameTwice()
     {
@@ -106,7 +106,7 @@
         if (runs_ > 1)
             return "the request ran " + std::to_string(runs_) + " times";
         for (const auto &entry : fleet_.entries_) {
-            if (entry->book_ && entry->book_->openClaims() != 0)
+            if (entry->registry_ && entry->registry_->openClaims() != 0)
                 return "a claim stays open";
         }
         return last_ && last_->has_value() ? "" : "the second caller has no answer";
@@ -138,9 +138,9 @@
             return;
         isEnded_ = true;
         if (isHandedOver_)
-            fleet_.book(0).complete(number(), ranWith("answer"));
+            fleet_.registry(0).complete(number(), ranWith("answer"));
         else
-            fleet_.book(0).release(number());
+            fleet_.registry(0).release(number());
     }
 
     /// Another caller with the same key, which runs whatever is granted.
@@ -156,7 +156,7 @@
         if (!holds<Granted>(answer))
             return;
         ++runs_;
-        fleet_.book(at).complete(contentOf<Granted>(answer).claim_, ranWith("answer"));
+        fleet_.registry(at).complete(contentOf<Granted>(answer).claim_, ranWith("answer"));
     }
 
     Fleet fleet_;
