--- a/include/cardamombay/claims/claim_registry.hpp
+++ b/include/cardamombay/claims/claim_registry.hpp
@@ -1,7 +1,7 @@
 /// \file
 /// \brief At-most-once execution of non-idempotent requests with an idempotency key.
 /// \details A request with an idempotency key may be handed over only after its claim was written
-/// to the table service. A request whose claim was granted but never completed or released is not
+/// to the table service. A request whose claim was written but not completed or released is not
 /// run again, even if its entry VM has failed. The registry only decides; it sends no requests.
 /// The state machine is defined in charts/claim.toml.
 #pragma once
