--- a/src/claims/claim_book.cpp
+++ b/src/claims/claim_registry.cpp
@@ -1,4 +1,4 @@
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 
 #include "claims/claim_record.hpp"
 
@@ -6,22 +6,22 @@
 
 namespace cardamombay::claims {
 
-ClaimBook::ClaimBook(Setting setting, ClaimPolicy policy, BatchPolicy batches)
-    : setting_(std::move(setting))
+ClaimRegistry::ClaimRegistry(Dependencies dependencies, ClaimPolicy policy, BatchPolicy batches)
+    : dependencies_(std::move(dependencies))
     , policy_(policy)
-    , batcher_(setting_.clock_, setting_.table_, setting_.random_,
-               platform::WriterTokens(setting_.self_, setting_.incarnation_), batches)
+    , batcher_(dependencies_.clock_, dependencies_.table_, dependencies_.random_,
+               platform::WriterTokens(dependencies_.self_, dependencies_.incarnation_), batches)
     , alive_(std::make_shared<char>())
 {
 }
 
-ClaimBook::~ClaimBook() = default;
+ClaimRegistry::~ClaimRegistry() = default;
 
-void ClaimBook::claim(ClaimRequest request, Callback<ClaimAnswer> done)
+void ClaimRegistry::claim(ClaimRequest request, Callback<ClaimAnswer> done)
 {
     const auto key = rowKeyOf(request.team_, request.key_).key_;
     if (const auto found = records_.find(key); found != records_.end()) {
-        answerLocal(*found->second, request, std::move(done));
+        answerFromRecord(*found->second, request, std::move(done));
         return;
     }
     lastClaim_ = lastClaim_.next();
@@ -32,29 +32,29 @@
     record->start();
 }
 
-void ClaimBook::complete(ClaimNumber claim, StoredOutcome stored)
+void ClaimRegistry::complete(ClaimNumber claim, StoredOutcome stored)
 {
     if (const auto record = find(claim))
         record->complete(std::move(stored));
 }
 
-void ClaimBook::release(ClaimNumber claim, std::function<void()> done)
+void ClaimRegistry::release(ClaimNumber claim, std::function<void()> done)
 {
     if (const auto record = find(claim))
         record->release(std::move(done));
     else if (done)
-        setting_.clock_.schedule(Duration::zero(), std::move(done));
+        dependencies_.clock_.schedule(Duration::zero(), std::move(done));
 }
 
-void ClaimBook::answerLater(Callback<ClaimAnswer> done, Result<ClaimAnswer> answer)
+void ClaimRegistry::answerLater(Callback<ClaimAnswer> done, Result<ClaimAnswer> answer)
 {
-    setting_.clock_.schedule(
+    dependencies_.clock_.schedule(
         Duration::zero(), [done = std::move(done), answer = std::move(answer)] { done(answer); });
 }
 
-/// Answers from a claim of this entry VM that is not done yet.
-void ClaimBook::answerLocal(ClaimRecord &record, const ClaimRequest &request,
-                            Callback<ClaimAnswer> done)
+/// Answers from a claim of this entry VM that is not yet done.
+void ClaimRegistry::answerFromRecord(ClaimRecord &record, const ClaimRequest &request,
+                                     Callback<ClaimAnswer> done)
 {
     if (record.isIn("storing") || record.isIn("held") || record.isIn("claiming")) {
         const bool isSame = record.request().key_ == request.key_
@@ -74,13 +74,13 @@
     record.addWaiter(request, std::move(done));
 }
 
-/// Answers from the row of another claim.
-void ClaimBook::answerRow(const ClaimRequest &request, const platform::Row &row,
-                          const Callback<ClaimAnswer> &done)
+/// Answers from a row that was written for another claim.
+void ClaimRegistry::answerFromRow(const ClaimRequest &request, const platform::Row &row,
+                                  const Callback<ClaimAnswer> &done)
 {
     if (row.version_.isNone()) {
         ++counts_.refused_;
-        done(Error(StoreUnavailable{"claim", "the row changes too fast"}));
+        done(Error(StoreUnavailable{"claim", "the conflicting claim row no longer exists"}));
         return;
     }
     auto decoded = decodeClaimRow(row.value_);
@@ -94,32 +94,32 @@
         ++counts_.mismatches_;
         done(ClaimAnswer(KeyMismatch{}));
     } else if (content.isFinished_) {
-        answerStored(std::move(content), done);
+        answerFromOutcome(std::move(content), done);
     } else {
-        done(judgeOwner(content.owner_));
+        done(answerUnfinished(content.owner_));
     }
 }
 
-void ClaimBook::answerStored(ClaimRow row, const Callback<ClaimAnswer> &done)
+void ClaimRegistry::answerFromOutcome(ClaimRow row, const Callback<ClaimAnswer> &done)
 {
     ++counts_.duplicates_;
     if (row.objectName_.empty()) {
         done(ClaimAnswer(Duplicate{std::move(row.stored_)}));
         return;
     }
-    setting_.objects_.fetch(row.objectName_,
-                            [stored = row.stored_, done](const Result<std::string> &body) mutable {
-                                if (isOk(body))
-                                    stored.body_ = valueOf(body);
-                                else
-                                    stored = StoredOutcome::withoutAnswer(stored.outcome_);
-                                done(ClaimAnswer(Duplicate{std::move(stored)}));
-                            });
+    dependencies_.objects_.fetch(
+        row.objectName_, [stored = row.stored_, done](const Result<std::string> &body) mutable {
+            if (isOk(body))
+                stored.body_ = valueOf(body);
+            else
+                stored = StoredOutcome::withoutAnswer(stored.outcome_);
+            done(ClaimAnswer(Duplicate{std::move(stored)}));
+        });
 }
 
-ClaimAnswer ClaimBook::judgeOwner(const ClaimOwner &owner)
+ClaimAnswer ClaimRegistry::answerUnfinished(const ClaimOwner &owner)
 {
-    const bool isSelf = owner.entry_ == setting_.self_;
+    const bool isSelf = owner.entry_ == dependencies_.self_;
     if (!isSelf && liveness_ && liveness_->isAlive(owner.entry_, owner.incarnation_)) {
         ++counts_.inProgress_;
         return InProgress{};
@@ -128,13 +128,13 @@
     return OutcomeUnknown{};
 }
 
-void ClaimBook::finish(ClaimRecord &record)
+void ClaimRegistry::removeRecord(ClaimRecord &record)
 {
     const auto waiters = record.takeWaiters();
-    const auto released = record.takeReleased();
+    const auto releaseCallbacks = record.takeReleaseCallbacks();
     keys_.erase(record.number());
     records_.erase(record.key().key_);
-    for (const auto &done : released)
+    for (const auto &done : releaseCallbacks)
         done();
     for (const auto &waiter : waiters) {
         if (std::exchange(waiter->isAnswered_, true))
@@ -143,7 +143,7 @@
     }
 }
 
-ClaimBook::RecordPtr ClaimBook::find(ClaimNumber claim) const
+ClaimRegistry::RecordPtr ClaimRegistry::find(ClaimNumber claim) const
 {
     const auto key = keys_.find(claim);
     return key == keys_.end() ? nullptr : records_.at(key->second);
--- a/tests/claims/fleet.hpp
+++ b/tests/claims/fleet.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Several entry VMs' claim books before one platform, and a count of the runs.
+/// \brief Claim registries of several entry VMs that share one fake platform.
 #pragma once
 
-#include <cardamombay/claims/claim_book.hpp>
+#include <cardamombay/claims/claim_registry.hpp>
 #include <cardamombay/core/manual_clock.hpp>
 
 #include "support/fake_store.hpp"
@@ -16,8 +16,8 @@
 
 namespace cardamombay::claims {
 
-/// \brief Knows which entry VMs a test left running.
-class KnownEntries final : public EntryLiveness
+/// \brief Liveness of the entry VMs as set by the test.
+class FakeLiveness final : public EntryLiveness
 {
 public:
     std::set<EntryId> alive_;
@@ -38,64 +38,64 @@
 /// \brief One entry VM.
 struct Entry
 {
-    Entry(Clock &clock, support::FakePlatform &platform, const KnownEntries &known,
+    Entry(Clock &clock, support::FakePlatform &platform, const FakeLiveness &liveness,
           std::uint64_t number, ClaimPolicy policy = {}, BatchPolicy batches = {})
         : table_(platform)
         , objects_(platform)
         , random_(number)
-        , book_(std::make_unique<ClaimBook>(
-              ClaimBook::Setting{clock, table_, objects_, random_, claimProgram(),
-                                 EntryId("e" + std::to_string(number)), Incarnation(1)},
+        , registry_(std::make_unique<ClaimRegistry>(
+              ClaimRegistry::Dependencies{clock, table_, objects_, random_, claimProgram(),
+                                          EntryId("e" + std::to_string(number)), Incarnation(1)},
               policy, batches))
     {
-        book_->setLiveness(&known);
+        registry_->setLiveness(&liveness);
     }
 
     support::FakeTableStore table_;
     support::FakeObjectStore objects_;
     Random random_;
-    std::unique_ptr<ClaimBook> book_;
+    std::unique_ptr<ClaimRegistry> registry_;
 };
 
-/// \brief Entry VMs e1, e2, ... and what their callers saw.
+/// \brief Entry VMs e1, e2, ... with a shared clock and store.
 struct Fleet
 {
     explicit Fleet(std::size_t size = 2, ClaimPolicy policy = {}, BatchPolicy batches = {})
     {
         for (std::size_t i = 1; i <= size; ++i) {
-            known_.alive_.insert(EntryId("e" + std::to_string(i)));
+            liveness_.alive_.insert(EntryId("e" + std::to_string(i)));
             entries_.push_back(
-                std::make_unique<Entry>(clock_, platform_, known_, i, policy, batches));
-            entries_.back()->book_->setEntryCount(static_cast<std::uint32_t>(size));
+                std::make_unique<Entry>(clock_, platform_, liveness_, i, policy, batches));
+            entries_.back()->registry_->setEntryCount(static_cast<std::uint32_t>(size));
         }
     }
 
     using Answer = std::optional<Result<ClaimAnswer>>;
 
-    /// \brief Claims at entry \p at; the answer appears when the clock is advanced.
+    /// \brief Claims \p key at entry VM \p at; the answer is set when the clock is advanced.
     std::shared_ptr<Answer> claim(std::size_t at, const std::string &key,
                                   const std::string &request = "body")
     {
         auto answer = std::make_shared<Answer>();
-        book(at).claim({TeamName("wasata"), IdempotencyKey(key), request},
-                       [answer](Result<ClaimAnswer> result) { *answer = std::move(result); });
+        registry(at).claim({TeamName("wasata"), IdempotencyKey(key), request},
+                           [answer](Result<ClaimAnswer> result) { *answer = std::move(result); });
         return answer;
     }
 
-    ClaimBook &book(std::size_t at) { return *entries_[at]->book_; }
-    [[nodiscard]] bool isAlive(std::size_t at) const { return entries_[at]->book_ != nullptr; }
+    ClaimRegistry &registry(std::size_t at) { return *entries_[at]->registry_; }
+    [[nodiscard]] bool isAlive(std::size_t at) const { return entries_[at]->registry_ != nullptr; }
     support::StoreFaults &faults() { return platform_.faults_; }
 
-    /// \brief The entry VM vanishes with all it knew; what it has sent is still under way.
+    /// \brief Destroys the entry VM and its state; requests it has already sent still take effect.
     void kill(std::size_t at)
     {
-        known_.alive_.erase(EntryId("e" + std::to_string(at + 1)));
-        entries_[at]->book_.reset();
+        liveness_.alive_.erase(EntryId("e" + std::to_string(at + 1)));
+        entries_[at]->registry_.reset();
     }
 
     ManualClock clock_;
     support::FakePlatform platform_{clock_};
-    KnownEntries known_;
+    FakeLiveness liveness_;
     std::vector<std::unique_ptr<Entry>> entries_;
 };
 
--- a/tests/claims/store_faults.cpp
+++ b/tests/claims/store_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of the store at each step of a claim.
+// Store outages, delays and lost messages at each step of a claim.
 #include "claims/fleet.hpp"
 
 #include <criterion/criterion.h>
@@ -36,7 +36,7 @@
     cr_assert_eq(fleet.platform_.commits_, 1);
 }
 
-Test(claim_faults, other_claim_won_after_a_lost_request_is_not_taken_for_ours)
+Test(claim_faults, other_claim_after_a_lost_request_is_not_mistaken_for_own)
 {
     Fleet fleet;
     fleet.faults().losesRequests_ = true;
@@ -62,7 +62,7 @@
     fleet.clock_.advance(milliseconds(50));
 
     cr_assert(isRefused(answer));
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
     fleet.faults().isDown_ = false;
     const auto again = fleet.claim(1, "booking-1");
     fleet.clock_.advance(seconds(1));
@@ -116,7 +116,7 @@
 
     fleet.clock_.advance(seconds(10));
     cr_assert(fleet.platform_.rows().empty());
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
 }
 
 Test(claim_faults, outcome_is_written_once_an_outage_is_over)
@@ -125,7 +125,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().isDown_ = true;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
     const auto local = fleet.claim(0, "booking-1");
     const auto remote = fleet.claim(1, "booking-1");
     fleet.clock_.advance(seconds(60));
@@ -146,7 +146,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().loseNextAnswers_ = 1;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
     fleet.clock_.advance(milliseconds(9));
     fleet.faults().isDown_ = true;
     fleet.clock_.advance(seconds(30));
@@ -157,7 +157,7 @@
     fleet.clock_.advance(seconds(1));
 
     cr_assert(contentOf<Duplicate>(second).stored_ == ranWith("{}"));
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
 }
 
 Test(claim_faults, lost_object_keeps_the_outcome_without_the_answer)
@@ -166,7 +166,7 @@
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().isDown_ = true;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith(std::string(5000, 'x')));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith(std::string(5000, 'x')));
     fleet.clock_.advance(seconds(3));
     fleet.faults().isDown_ = false;
     fleet.clock_.advance(seconds(3));
@@ -181,15 +181,15 @@
 Test(claim_faults, outcome_that_cannot_be_written_leaves_the_claim_unknown)
 {
     ClaimPolicy policy;
-    policy.retries_ = 3;
+    policy.maxRetries_ = 3;
     Fleet fleet(2, policy);
     const auto first = fleet.claim(0, "booking-1");
     fleet.clock_.advance(seconds(1));
     fleet.faults().isDown_ = true;
-    fleet.book(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
+    fleet.registry(0).complete(contentOf<Granted>(first).claim_, ranWith("{}"));
     fleet.clock_.advance(seconds(60));
-    cr_assert_eq(fleet.book(0).counts().dropped_, 1);
-    cr_assert_eq(fleet.book(0).openClaims(), 0);
+    cr_assert_eq(fleet.registry(0).counts().dropped_, 1);
+    cr_assert_eq(fleet.registry(0).openClaims(), 0);
     fleet.faults().isDown_ = false;
 
     const auto second = fleet.claim(0, "booking-1");
