--- a/include/cardamombay/leases/lease_keeper.hpp
+++ b/include/cardamombay/leases/lease_keeper.hpp
@@ -1,10 +1,11 @@
 /// \file
-/// \brief Gains, renews and gives back the planner lease of one fabric domain.
+/// \brief Acquires, renews and releases the planner lease of one fabric domain.
 ///
-/// Decides who may plan a fabric domain and give orders to its VMs. It guards the promise that no
-/// VM belongs to two groups: orders carry the epoch of the lease as their fencing number, and
-/// nothing is ordered once the lease may have lapsed. It compares no clocks of two processes: a
-/// contender waits until it has seen the row unchanged for the lease's duration on its own clock.
+/// The holder is the only process that plans the fabric domain and sends orders to its VMs, so that
+/// no VM belongs to two groups. Orders carry the epoch of the lease as their fencing token, and the
+/// holder sends none once the lease may have expired. Clocks of different processes are never
+/// compared: a candidate waits until the row has been unchanged for the lease duration on its own
+/// clock.
 #pragma once
 
 #include <cardamombay/chart/machine.hpp>
@@ -26,10 +27,10 @@
 
 class LeaseKeeper;
 
-/// \brief charts/lease.toml with its code; made once and shared by all keepers of a process.
+/// \brief State machine of charts/lease.toml bound to its code; shared by all keepers of a process.
 using LeaseProgramPtr = chart::ProgramPtr<LeaseKeeper>;
 
-/// \brief One entry VM's side of a planner lease.
+/// \brief Planner lease of one fabric domain as seen by one entry VM.
 /// \code
 /// LeaseKeeper lease(clock, store, Random(seed), LeaseSettings{}, self, incarnation, domain,
 ///                   program);
@@ -48,61 +49,62 @@
     LeaseKeeper &operator=(const LeaseKeeper &) = delete;
     ~LeaseKeeper();
 
-    /// \brief Joins \p chart, read from charts/lease.toml, with the code.
+    /// \brief Binds \p chart, loaded from charts/lease.toml, to the code.
     [[nodiscard]] static Result<LeaseProgramPtr> bind(const chart::Chart &chart);
 
     /// \name Control
     /// \{
 
-    /// \brief Begins to contend; does nothing if it has begun.
+    /// \brief Starts competing for the lease; does nothing if already started.
     void start();
 
-    /// \brief Sets the place among the candidates; none ends contending.
-    /// \details A holder that loses its place releases the lease, so that the work moves to the
-    /// candidates of the present membership.
+    /// \brief Sets the rank among the candidates; without a rank it stops competing.
+    /// \details A holder without a rank releases the lease, so that planning moves to a candidate
+    /// of the current membership.
     void setCandidateRank(std::optional<std::uint32_t> rank);
 
-    /// \brief Gives the lease back and stops contending; the next holder need not wait it out.
+    /// \brief Releases the lease and stops competing; the next holder need not wait for expiry.
     void release();
 
-    /// \brief The store was restored from a backup: what was known of the row says nothing any
-    /// more. \details A lease held here ends, and nobody takes the lease until one that was gained
-    /// before the restore has lapsed: its row may be missing, and its holder may not know of the
-    /// restore. \param timeline the store's history from now on; epochs of a later one are higher.
+    /// \brief Discards everything known of the row after the store was restored from a backup.
+    /// \details Ends the lease if it is held here. The lease is not acquired again until any lease
+    /// granted before the restore has expired: its row may be missing from the backup, and its
+    /// holder may not know of the restore.
+    /// \param timeline new timeline of the store; a later timeline has higher epochs.
     void storeRestored(StoreTimeline timeline);
 
-    /// \brief Sets the timeline at a start before which nobody can have held the lease.
+    /// \brief Sets the timeline of the store when no process can have held the lease before.
     void setTimeline(StoreTimeline timeline) { timeline_ = timeline; }
 
-    /// \brief Called after each change of isHeld(), from a timer or an answer of the store.
-    void onChange(std::function<void()> action) { changed_ = std::move(action); }
+    /// \brief Sets the handler for changes of isHeld(), called from timers and store callbacks.
+    void onChange(std::function<void()> action) { onChange_ = std::move(action); }
     /// \}
 
-    /// \name State, checked on the clock at each call
+    /// \name State, evaluated against the clock on each call
     /// \{
 
-    /// \brief True while no other process can hold the lease.
+    /// \brief True while this process holds the lease and no other process can.
     [[nodiscard]] bool isHeld() const { return isHeldFor(Duration::zero()); }
 
-    /// \brief True if the lease still has at least \p rest to run.
-    [[nodiscard]] bool isHeldFor(Duration rest) const;
+    /// \brief True if the lease is held and stays valid for more than \p remaining.
+    [[nodiscard]] bool isHeldFor(Duration remaining) const;
 
-    /// \brief Until when the lease runs if it is not renewed; in the past if it is not held.
+    /// \brief Expiry of the lease unless it is renewed; in the past if it is not held.
     [[nodiscard]] TimePoint heldUntil() const { return heldUntil_; }
 
-    /// \brief Until when orders of the holder before may still arrive.
+    /// \brief Time until which orders of the previous holder may still arrive.
     [[nodiscard]] TimePoint quietUntil() const { return quietUntil_; }
 
-    /// \brief Fencing number of the present or last tenure; none before the first.
+    /// \brief Fencing token of the current or last tenure; none before the first.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
 
-    /// \brief Commit that began the present or last tenure.
+    /// \brief Row version of the commit that began the current or last tenure.
     [[nodiscard]] RowVersion epochVersion() const { return epochVersion_; }
 
-    /// \brief Condition that makes a transaction fail once another process has the lease.
+    /// \brief Condition that fails a transaction once another process has acquired the lease.
     [[nodiscard]] platform::Condition fence() const { return {epochKey(domain_), epochVersion_}; }
 
-    /// \brief True once a release has been settled and nothing is under way.
+    /// \brief True once the lease is released and no store operation is pending.
     [[nodiscard]] bool isReleased() const { return !isWanted() && machine_.isIn("resting"); }
 
     [[nodiscard]] std::string_view state() const { return machine_.state(); }
@@ -111,44 +113,44 @@
     /// \}
 
 private:
-    /// What was seen last of the row.
-    struct Sighting
+    /// Newest version of the lease row read so far.
+    struct ObservedRow
     {
         LeaseRow row_;
         RowVersion version_;
-        TimePoint since_{}; ///< When this version was first seen.
+        TimePoint firstSeenAt_{}; ///< When this version was first read.
     };
 
     void handle(std::string_view event);
-    void adjust();
+    void updateContention();
     [[nodiscard]] bool isWanted() const { return isStarted_ && rank_.has_value(); }
 
-    /// \name Actions and guards of the chart
+    /// \name Actions and guards of charts/lease.toml
     /// \{
-    void look();
-    void lookLater();
-    [[nodiscard]] bool mayTake() const;
+    void readRow();
+    void scheduleRead();
+    [[nodiscard]] bool canAcquire() const;
     void acquire();
-    void takeUp();
+    void becomeHolder();
     void renew();
     void extend();
-    void renewSoon();
-    void giveBack();
-    void giveBackSoon();
-    void drop();
+    void retryRenewal();
+    void sendRelease();
+    void retryRelease();
+    void endTenure();
     /// \}
 
-    void see(const std::vector<platform::Row> &rows);
-    [[nodiscard]] Duration waitLeft() const;
-    [[nodiscard]] TimePoint restoreEnd() const;
+    void recordRow(const std::vector<platform::Row> &rows);
+    [[nodiscard]] Duration timeUntilTakeover() const;
+    [[nodiscard]] TimePoint earliestTakeoverAfterRestore() const;
     void write(LeaseRow row);
-    void finish(const Result<platform::CommitReceipt> &result);
-    void arm(Duration delay, std::string_view event);
-    void disarm();
-    void armLapse();
-    void announce();
-    [[nodiscard]] Duration jittered(Duration delay);
-    [[nodiscard]] Duration backOff();
+    void onCommitted(const Result<platform::CommitReceipt> &result);
+    void scheduleEvent(Duration delay, std::string_view event);
+    void cancelEvent();
+    void scheduleExpiry();
+    void notifyIfChanged();
+    [[nodiscard]] Duration withJitter(Duration delay);
+    [[nodiscard]] Duration nextBackoff();
 
     Clock &clock_;
     platform::TableStore &store_;
@@ -160,14 +162,14 @@
     platform::WriterTokens tokens_;
     platform::ReliableCommit commits_;
     chart::Machine<LeaseKeeper> machine_;
-    std::function<void()> changed_;
+    std::function<void()> onChange_;
 
     bool isStarted_ = false;
-    bool isTenured_ = false; ///< The row names this process, as far as it knows.
-    bool wasHeld_ = false;
+    bool isHolder_ = false; ///< The row names this process according to its last commit.
+    bool wasHeldAtLastNotification_ = false;
     std::optional<std::uint32_t> rank_;
-    std::optional<Sighting> sighting_;
-    LeaseRow written_; ///< Content of the last write.
+    std::optional<ObservedRow> observedRow_;
+    LeaseRow written_; ///< Row content of the last write.
     TimePoint sentAt_{};
     Epoch epoch_;
     RowVersion epochVersion_;
@@ -176,9 +178,9 @@
     TimePoint quietUntil_{};
     StoreTimeline timeline_;
     std::optional<TimePoint> restoredAt_;
-    Duration delay_{};
+    Duration backoff_{};
     TimerId timer_ = TimerId::None;
-    TimerId lapse_ = TimerId::None;
+    TimerId expiryTimer_ = TimerId::None;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
--- a/include/cardamombay/leases/lease_row.hpp
+++ b/include/cardamombay/leases/lease_row.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief The rows of a planner lease in the table service.
-/// \details Decides what of a lease is kept in the table service and how it is read back. The epoch
-/// only rises and is the fencing number of orders; a row out of range is an error.
+/// \brief Rows of a planner lease in the table service, and their JSON encoding.
+/// \details The epoch increases monotonically and is the fencing token of orders. Decoding rejects
+/// out-of-range values.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -14,30 +14,31 @@
 
 namespace cardamombay::leases {
 
-/// \brief Content of the lease row: who plans a fabric domain, and under which epoch.
+/// \brief Content of the lease row: the planner of a fabric domain and its epoch.
 struct LeaseRow
 {
     EntryId holder_; ///< Empty after a release.
     Incarnation incarnation_;
     Epoch epoch_;
-    Duration duration_{};       ///< From before the holder sent the renewal, on its own clock.
-    std::uint64_t renewal_ = 0; ///< Rises with every renewal.
+    Duration duration_{};       ///< Starts when the holder sends the renewal, on its own clock.
+    std::uint64_t renewal_ = 0; ///< Incremented by each renewal.
 
     friend bool operator==(const LeaseRow &, const LeaseRow &) = default;
 };
 
-/// \brief Key of the lease row, which every renewal rewrites.
+/// \brief Key of the lease row, which is rewritten by each renewal.
 [[nodiscard]] platform::RowKey leaseKey(const FabricDomain &domain);
 
-/// \brief Key of the epoch row, which only a change of holder rewrites.
-/// \details Transactions made under the lease put their condition on this row, so that a renewal
-/// on its way never makes them fail.
+/// \brief Key of the epoch row, which is rewritten only when the holder changes.
+/// \details Transactions made under the lease are conditional on this row rather than the lease
+/// row, so that a concurrent renewal does not make them fail.
 [[nodiscard]] platform::RowKey epochKey(const FabricDomain &domain);
 
-/// \brief JSON text of \p row.
+/// \brief Encodes \p row as JSON.
 [[nodiscard]] std::string encode(const LeaseRow &row);
 
-/// \brief Reads the JSON text of a lease row; MalformedMessage if it is none.
+/// \brief Decodes a lease row from JSON.
+/// \returns the row, or MalformedMessage if \p text is not a valid lease row.
 [[nodiscard]] Result<LeaseRow> decodeLeaseRow(const std::string &text);
 
 } // namespace cardamombay::leases
--- a/include/cardamombay/leases/lease_settings.hpp
+++ b/include/cardamombay/leases/lease_settings.hpp
@@ -1,23 +1,22 @@
 /// \file
-/// \brief Durations of a planner lease.
-/// \details Values only. The margins among them make the holder stop before others may take the
-/// lease.
+/// \brief Timing parameters of the planner lease.
+/// \details The margins ensure that a holder stops before another process may acquire the lease.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
 
 namespace cardamombay::leases {
 
-/// \brief Durations of a planner lease; all are measured on the clock of one process.
+/// \brief Timing parameters of a planner lease, each measured on the clock of a single process.
 struct LeaseSettings
 {
-    Duration duration_ = std::chrono::seconds(12);     ///< What a renewal buys.
-    Duration margin_ = std::chrono::seconds(1);        ///< Clock drift; both sides allow for it.
-    Duration renewEvery_ = std::chrono::seconds(4);    ///< Also the pause between contender reads.
-    Duration rankDelay_ = std::chrono::seconds(4);     ///< Head start of each candidate rank.
-    Duration orderFlight_ = std::chrono::seconds(3);   ///< Longest time an order is under way.
-    Duration writeDeadline_ = std::chrono::seconds(2); ///< Tries of one write, lost answers too.
-    Duration retryDelay_ = std::chrono::milliseconds(500); ///< First delay after a failure.
+    Duration duration_ = std::chrono::seconds(12);     ///< Lease time granted by each renewal.
+    Duration margin_ = std::chrono::seconds(1);        ///< Clock drift allowance on both sides.
+    Duration renewEvery_ = std::chrono::seconds(4);    ///< Also the read interval of candidates.
+    Duration rankDelay_ = std::chrono::seconds(4);     ///< Extra takeover delay per rank.
+    Duration orderFlight_ = std::chrono::seconds(3);   ///< Maximum time an order is in transit.
+    Duration writeDeadline_ = std::chrono::seconds(2); ///< For one write including its retries.
+    Duration retryDelay_ = std::chrono::milliseconds(500); ///< Initial backoff after a failure.
     Duration longestRetryDelay_ = std::chrono::seconds(5);
 };
 
--- a/src/leases/lease_keeper.cpp
+++ b/src/leases/lease_keeper.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Tenures in one timeline of the store; one each second for twelve days.
-constexpr std::uint64_t epochsOfTimeline = std::uint64_t{1} << 20U;
+/// Epochs reserved per store timeline; enough for one tenure per second over twelve days.
+constexpr std::uint64_t epochsPerTimeline = std::uint64_t{1} << 20U;
 
 } // namespace
 
@@ -27,14 +27,14 @@
     , machine_(std::move(program))
     , heldUntil_(clock.now())
     , quietUntil_(clock.now())
-    , delay_(settings.retryDelay_)
+    , backoff_(settings.retryDelay_)
 {
 }
 
 LeaseKeeper::~LeaseKeeper()
 {
     clock_.cancel(timer_);
-    clock_.cancel(lapse_);
+    clock_.cancel(expiryTimer_);
 }
 
 Result<LeaseProgramPtr> LeaseKeeper::bind(const chart::Chart &chart)
@@ -45,51 +45,51 @@
         binding.state(state);
     binding.events({"contend", "yield", "look-due", "row-seen", "renewal-due", "written",
                     "unavailable", "refused"});
-    binding.guard("may-take", [](const LeaseKeeper &keeper) { return keeper.mayTake(); });
+    binding.guard("may-take", [](const LeaseKeeper &keeper) { return keeper.canAcquire(); });
     binding.guard("is-wanted", [](const LeaseKeeper &keeper) { return keeper.isWanted(); });
-    binding.action("look", [](LeaseKeeper &keeper) { keeper.look(); });
-    binding.action("look-later", [](LeaseKeeper &keeper) { keeper.lookLater(); });
+    binding.action("look", [](LeaseKeeper &keeper) { keeper.readRow(); });
+    binding.action("look-later", [](LeaseKeeper &keeper) { keeper.scheduleRead(); });
     binding.action("acquire", [](LeaseKeeper &keeper) { keeper.acquire(); });
-    binding.action("take-up", [](LeaseKeeper &keeper) { keeper.takeUp(); });
+    binding.action("take-up", [](LeaseKeeper &keeper) { keeper.becomeHolder(); });
     binding.action("renew", [](LeaseKeeper &keeper) { keeper.renew(); });
     binding.action("extend", [](LeaseKeeper &keeper) { keeper.extend(); });
-    binding.action("renew-soon", [](LeaseKeeper &keeper) { keeper.renewSoon(); });
-    binding.action("give-back", [](LeaseKeeper &keeper) { keeper.giveBack(); });
-    binding.action("give-back-soon", [](LeaseKeeper &keeper) { keeper.giveBackSoon(); });
-    binding.action("drop", [](LeaseKeeper &keeper) { keeper.drop(); });
-    binding.action("drop-timer", [](LeaseKeeper &keeper) { keeper.disarm(); });
+    binding.action("renew-soon", [](LeaseKeeper &keeper) { keeper.retryRenewal(); });
+    binding.action("give-back", [](LeaseKeeper &keeper) { keeper.sendRelease(); });
+    binding.action("give-back-soon", [](LeaseKeeper &keeper) { keeper.retryRelease(); });
+    binding.action("drop", [](LeaseKeeper &keeper) { keeper.endTenure(); });
+    binding.action("drop-timer", [](LeaseKeeper &keeper) { keeper.cancelEvent(); });
     return chart::bind(chart, std::move(binding));
 }
 
 void LeaseKeeper::start()
 {
     isStarted_ = true;
-    adjust();
+    updateContention();
 }
 
 void LeaseKeeper::setCandidateRank(std::optional<std::uint32_t> rank)
 {
     rank_ = rank;
-    adjust();
+    updateContention();
 }
 
 void LeaseKeeper::release()
 {
     isStarted_ = false;
-    adjust();
+    updateContention();
 }
 
 void LeaseKeeper::storeRestored(StoreTimeline timeline)
 {
     timeline_ = timeline;
     restoredAt_ = clock_.now();
-    isTenured_ = false;
+    isHolder_ = false;
     heldUntil_ = std::min(heldUntil_, clock_.now());
-    sighting_.reset();
-    announce();
+    observedRow_.reset();
+    notifyIfChanged();
 }
 
-void LeaseKeeper::adjust()
+void LeaseKeeper::updateContention()
 {
     handle(isWanted() ? "contend" : "yield");
 }
@@ -97,96 +97,97 @@
 void LeaseKeeper::handle(std::string_view event)
 {
     machine_.handle(*this, event);
-    announce();
+    notifyIfChanged();
 }
 
-bool LeaseKeeper::isHeldFor(Duration rest) const
+bool LeaseKeeper::isHeldFor(Duration remaining) const
 {
-    return isTenured_ && isWanted() && clock_.now() + rest < heldUntil_;
+    return isHolder_ && isWanted() && clock_.now() + remaining < heldUntil_;
 }
 
-void LeaseKeeper::look()
+void LeaseKeeper::readRow()
 {
     auto seen =
         [this, alive = std::weak_ptr(isAlive_)](const Result<std::vector<platform::Row>> &result) {
             if (alive.expired())
                 return;
             if (isOk(result)) {
-                delay_ = settings_.retryDelay_;
-                see(valueOf(result));
+                backoff_ = settings_.retryDelay_;
+                recordRow(valueOf(result));
             }
             handle(isOk(result) ? "row-seen" : "unavailable");
         };
     store_.read({leaseKey(domain_)}, std::move(seen));
 }
 
-/// A stale read never replaces a newer sighting.
-void LeaseKeeper::see(const std::vector<platform::Row> &rows)
+/// Ignores a stale read, which may arrive after a newer version was read.
+void LeaseKeeper::recordRow(const std::vector<platform::Row> &rows)
 {
     const platform::Row row = rows.empty() ? platform::Row{} : rows.front();
-    if (sighting_ && row.version_ <= sighting_->version_)
+    if (observedRow_ && row.version_ <= observedRow_->version_)
         return;
     LeaseRow content;
     if (!rows.empty()) {
         const Result<LeaseRow> decoded = decodeLeaseRow(row.value_);
-        // Nobody can hold a lease by a row that nobody can read, but its epoch must be passed.
+        // An unreadable row grants no lease, but the next epoch must still exceed its epoch.
         content
             = isOk(decoded)
                   ? valueOf(decoded)
                   : LeaseRow{EntryId("?"), {}, Epoch(row.version_.value()), settings_.duration_, 0};
     }
-    sighting_ = Sighting{std::move(content), row.version_, clock_.now()};
+    observedRow_ = ObservedRow{std::move(content), row.version_, clock_.now()};
 }
 
-/// A lease from before the store was restored has lapsed by then, wherever it was held.
-TimePoint LeaseKeeper::restoreEnd() const
+/// Time by which any lease granted before the store was restored has expired.
+TimePoint LeaseKeeper::earliestTakeoverAfterRestore() const
 {
     return restoredAt_ ? *restoredAt_ + settings_.duration_ + settings_.margin_ : TimePoint{};
 }
 
-/// Time until a takeover is allowed. It counts from when the version was first seen here; that is
-/// later than its commit, which is later than the instant the holder counts from.
-Duration LeaseKeeper::waitLeft() const
+/// Time until this process may acquire the lease. It is measured from the first read of the row
+/// version, which is later than its commit and so later than the start of the holder's lease.
+Duration LeaseKeeper::timeUntilTakeover() const
 {
-    const LeaseRow &row = sighting_->row_;
+    const LeaseRow &row = observedRow_->row_;
     const bool isOwn = row.holder_ == self_ && row.incarnation_ == incarnation_;
-    // Left by a write of ours with unknown effect.
-    if (isOwn && clock_.now() >= restoreEnd())
+    // An earlier write of this process, whose outcome was unknown, did take effect.
+    if (isOwn && clock_.now() >= earliestTakeoverAfterRestore())
         return Duration::zero();
     const Duration headStart = settings_.rankDelay_ * rank_.value_or(0);
     const Duration term
         = row.holder_.isEmpty() ? Duration::zero() : row.duration_ + settings_.margin_;
-    return std::max(sighting_->since_ + term, restoreEnd()) + headStart - clock_.now();
+    return std::max(observedRow_->firstSeenAt_ + term, earliestTakeoverAfterRestore()) + headStart
+           - clock_.now();
 }
 
-bool LeaseKeeper::mayTake() const
+bool LeaseKeeper::canAcquire() const
 {
-    return sighting_ && waitLeft() <= Duration::zero();
+    return observedRow_ && timeUntilTakeover() <= Duration::zero();
 }
 
-void LeaseKeeper::lookLater()
+void LeaseKeeper::scheduleRead()
 {
-    const Duration period = jittered(settings_.renewEvery_);
-    const Duration delay = sighting_ ? std::min(period, waitLeft()) : backOff();
-    arm(std::max(delay, settings_.retryDelay_ / 2), "look-due");
+    const Duration period = withJitter(settings_.renewEvery_);
+    const Duration delay = observedRow_ ? std::min(period, timeUntilTakeover()) : nextBackoff();
+    scheduleEvent(std::max(delay, settings_.retryDelay_ / 2), "look-due");
 }
 
 void LeaseKeeper::acquire()
 {
-    leaseVersion_ = sighting_->version_;
-    // A row from a backup has an earlier epoch than the last one that engines have obeyed.
-    const auto timeline = std::max(timeline_, sighting_->version_.timeline());
-    const Epoch least(timeline.value() * epochsOfTimeline);
-    const Epoch epoch = std::max({sighting_->row_.epoch_, epoch_, least}).next();
-    write({self_, incarnation_, epoch, settings_.duration_, sighting_->row_.renewal_ + 1});
+    leaseVersion_ = observedRow_->version_;
+    // A row restored from a backup may have a lower epoch than the engines have already accepted.
+    const auto timeline = std::max(timeline_, observedRow_->version_.timeline());
+    const Epoch least(timeline.value() * epochsPerTimeline);
+    const Epoch epoch = std::max({observedRow_->row_.epoch_, epoch_, least}).next();
+    write({self_, incarnation_, epoch, settings_.duration_, observedRow_->row_.renewal_ + 1});
 }
 
-void LeaseKeeper::takeUp()
+void LeaseKeeper::becomeHolder()
 {
-    isTenured_ = true;
+    isHolder_ = true;
     epoch_ = written_.epoch_;
     epochVersion_ = leaseVersion_;
-    // The holder before has stopped; what it sent may still be under way.
+    // The previous holder has stopped, but its orders may still be in transit.
     const bool isFirst = epoch_ == Epoch(1);
     quietUntil_ = isFirst ? clock_.now() : clock_.now() + settings_.orderFlight_;
     extend();
@@ -199,37 +200,38 @@
 
 void LeaseKeeper::extend()
 {
-    delay_ = settings_.retryDelay_;
+    backoff_ = settings_.retryDelay_;
     heldUntil_ = sentAt_ + settings_.duration_ - settings_.margin_;
-    armLapse();
-    arm(jittered(settings_.renewEvery_), "renewal-due");
+    scheduleExpiry();
+    scheduleEvent(withJitter(settings_.renewEvery_), "renewal-due");
 }
 
-void LeaseKeeper::renewSoon()
+void LeaseKeeper::retryRenewal()
 {
-    arm(backOff(), "renewal-due");
+    scheduleEvent(nextBackoff(), "renewal-due");
 }
 
-/// Once this is sent another process may gain the lease, also if the lease is wanted again here.
-void LeaseKeeper::giveBack()
+/// The lease ends here before the row is written: once the write is sent, another process may
+/// acquire the lease, even if this process wants it again.
+void LeaseKeeper::sendRelease()
 {
-    disarm();
+    cancelEvent();
     heldUntil_ = std::min(heldUntil_, clock_.now());
     write({{}, {}, epoch_, settings_.duration_, written_.renewal_ + 1});
 }
 
-void LeaseKeeper::giveBackSoon()
+void LeaseKeeper::retryRelease()
 {
-    arm(backOff(), "renewal-due");
+    scheduleEvent(nextBackoff(), "renewal-due");
 }
 
-/// Ends the tenure. The row is to be looked at anew, since it is another's or unknown.
-void LeaseKeeper::drop()
+/// Ends the tenure and forgets the row, which belongs to another process or is in unknown state.
+void LeaseKeeper::endTenure()
 {
-    isTenured_ = false;
+    isHolder_ = false;
     heldUntil_ = std::min(heldUntil_, clock_.now());
-    sighting_.reset();
-    disarm();
+    observedRow_.reset();
+    cancelEvent();
 }
 
 void LeaseKeeper::write(LeaseRow row)
@@ -244,68 +246,68 @@
     if (beginsTenure)
         transaction.writes_.push_back({epochKey(domain_), encode(written_)});
     commits_.commit(std::move(transaction), settings_.writeDeadline_,
-                    [this](const Result<platform::CommitReceipt> &result) { finish(result); });
+                    [this](const Result<platform::CommitReceipt> &result) { onCommitted(result); });
 }
 
-void LeaseKeeper::finish(const Result<platform::CommitReceipt> &result)
+void LeaseKeeper::onCommitted(const Result<platform::CommitReceipt> &result)
 {
-    const bool isFromBefore = restoredAt_ && sentAt_ <= *restoredAt_;
-    if (isOk(result) && !isFromBefore) {
+    const bool isFromBeforeRestore = restoredAt_ && sentAt_ <= *restoredAt_;
+    if (isOk(result) && !isFromBeforeRestore) {
         leaseVersion_ = valueOf(result).version_;
         handle("written");
         return;
     }
     const bool isRefused
-        = isFromBefore || isError<StoreConflict>(result) || isError<StoreAnswerLost>(result);
+        = isFromBeforeRestore || isError<StoreConflict>(result) || isError<StoreAnswerLost>(result);
     if (isRefused)
-        sighting_.reset();
+        observedRow_.reset();
     handle(isRefused ? "refused" : "unavailable");
 }
 
-void LeaseKeeper::arm(Duration delay, std::string_view event)
+void LeaseKeeper::scheduleEvent(Duration delay, std::string_view event)
 {
-    disarm();
+    cancelEvent();
     timer_ = clock_.schedule(delay, [this, event] {
         timer_ = TimerId::None;
         handle(event);
     });
 }
 
-void LeaseKeeper::disarm()
+void LeaseKeeper::cancelEvent()
 {
     clock_.cancel(timer_);
     timer_ = TimerId::None;
 }
 
-void LeaseKeeper::armLapse()
+void LeaseKeeper::scheduleExpiry()
 {
-    clock_.cancel(lapse_);
-    lapse_ = clock_.schedule(heldUntil_ - clock_.now(), [this] {
-        lapse_ = TimerId::None;
-        announce();
+    clock_.cancel(expiryTimer_);
+    expiryTimer_ = clock_.schedule(heldUntil_ - clock_.now(), [this] {
+        expiryTimer_ = TimerId::None;
+        notifyIfChanged();
     });
 }
 
-void LeaseKeeper::announce()
+void LeaseKeeper::notifyIfChanged()
 {
     const bool holds = isHeld();
-    if (holds == wasHeld_)
+    if (holds == wasHeldAtLastNotification_)
         return;
-    wasHeld_ = holds;
-    if (changed_)
-        changed_();
+    wasHeldAtLastNotification_ = holds;
+    if (onChange_)
+        onChange_();
 }
 
-Duration LeaseKeeper::jittered(Duration delay)
+Duration LeaseKeeper::withJitter(Duration delay)
 {
     return std::chrono::duration_cast<Duration>(delay * (0.75 + 0.5 * random_.unit()));
 }
 
-Duration LeaseKeeper::backOff()
+Duration LeaseKeeper::nextBackoff()
 {
-    const Duration delay = delay_;
-    delay_ = std::min(delay_ * 2, settings_.longestRetryDelay_);
-    return jittered(delay);
+    const Duration delay = backoff_;
+    backoff_ = std::min(backoff_ * 2, settings_.longestRetryDelay_);
+    return withJitter(delay);
 }
 
 } // namespace cardamombay::leases
--- a/src/leases/lease_row.cpp
+++ b/src/leases/lease_row.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A longer term cannot be meant, and far longer ones do not fit into a Duration.
-constexpr std::int64_t longestTermMilliseconds = 86'400'000;
+/// One day, far above any configured lease; much larger values would overflow Duration.
+constexpr std::int64_t maxLeaseDurationMilliseconds = 86'400'000;
 
-Duration termFrom(std::int64_t milliseconds)
+Duration parseLeaseDuration(std::int64_t milliseconds)
 {
-    if (milliseconds < 0 || milliseconds > longestTermMilliseconds)
+    if (milliseconds < 0 || milliseconds > maxLeaseDurationMilliseconds)
         throw std::out_of_range("duration_ms is out of range");
     return std::chrono::milliseconds(milliseconds);
 }
@@ -50,7 +50,7 @@
         row.holder_ = EntryId(json::value_to<std::string>(object.at("holder")));
         row.incarnation_ = Incarnation(object.at("incarnation").to_number<std::uint64_t>());
         row.epoch_ = Epoch(object.at("epoch").to_number<std::uint64_t>());
-        row.duration_ = termFrom(object.at("duration_ms").to_number<std::int64_t>());
+        row.duration_ = parseLeaseDuration(object.at("duration_ms").to_number<std::int64_t>());
         row.renewal_ = object.at("renewal").to_number<std::uint64_t>();
         return row;
     } catch (const std::exception &failure) {
--- a/tests/leases/lease_keeper.cpp
+++ b/tests/leases/lease_keeper.cpp
@@ -29,7 +29,7 @@
     return valueOf(bound);
 }
 
-/// One entry VM with its own link to the store; it can be paused and cut off.
+/// An entry VM with its own clock and store connection, which can be paused and disconnected.
 struct Node
 {
     Node(ManualClock &clock, FakePlatform &platform, const std::string &name)
@@ -55,14 +55,14 @@
     std::vector<bool> changes_;
 };
 
-struct Bench
+struct LeaseFixture
 {
     ManualClock clock_;
     FakePlatform platform_{clock_};
     Node a_{clock_, platform_, "entry-a"};
     Node b_{clock_, platform_, "entry-b"};
 
-    /// Advances in small steps and checks that the lease has at most one holder all the time.
+    /// Advances the clock in small steps, checking at each that at most one node holds the lease.
     void run(Duration time)
     {
         for (Duration step = milliseconds(50); time > Duration::zero(); time -= step) {
@@ -74,198 +74,198 @@
 
 } // namespace
 
-Test(lease_keeper, first_candidate_gains_a_free_lease_at_once)
+Test(lease_keeper, first_candidate_acquires_a_free_lease_immediately)
 {
-    Bench bench;
-    bench.a_.contend();
+    LeaseFixture fixture;
+    fixture.a_.contend();
 
-    bench.run(milliseconds(100));
+    fixture.run(milliseconds(100));
 
-    cr_assert(bench.a_.lease_.isHeld());
-    cr_assert_eq(bench.a_.lease_.epoch().value(), 1U);
-    cr_assert(bench.a_.changes_ == std::vector<bool>{true});
+    cr_assert(fixture.a_.lease_.isHeld());
+    cr_assert_eq(fixture.a_.lease_.epoch().value(), 1U);
+    cr_assert(fixture.a_.changes_ == std::vector<bool>{true});
 }
 
 Test(lease_keeper, holder_keeps_the_lease_by_renewing_it)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.run(seconds(1));
-    bench.b_.contend();
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.run(seconds(1));
+    fixture.b_.contend();
 
-    bench.run(seconds(120));
+    fixture.run(seconds(120));
 
-    cr_assert(bench.a_.lease_.isHeld());
-    cr_assert_eq(bench.a_.lease_.epoch().value(), 1U);
-    cr_assert(bench.a_.changes_ == std::vector<bool>{true});
+    cr_assert(fixture.a_.lease_.isHeld());
+    cr_assert_eq(fixture.a_.lease_.epoch().value(), 1U);
+    cr_assert(fixture.a_.changes_ == std::vector<bool>{true});
 }
 
 Test(lease_keeper, lease_counts_from_before_the_renewal_was_sent)
 {
-    Bench bench;
-    bench.platform_.faults_.latency_ = seconds(1);
-    const TimePoint begin = bench.clock_.now();
-    bench.a_.contend();
+    LeaseFixture fixture;
+    fixture.platform_.faults_.latency_ = seconds(1);
+    const TimePoint begin = fixture.clock_.now();
+    fixture.a_.contend();
 
-    bench.run(milliseconds(2100)); // One read, then the write, a second each.
+    fixture.run(milliseconds(2100)); // One read and one write, one second each.
 
     const LeaseSettings settings;
-    cr_assert(bench.a_.lease_.isHeld());
-    cr_assert(bench.a_.lease_.heldUntil()
+    cr_assert(fixture.a_.lease_.isHeld());
+    cr_assert(fixture.a_.lease_.heldUntil()
               <= begin + seconds(1) + settings.duration_ - settings.margin_);
 }
 
 Test(lease_keeper, contender_takes_over_only_after_the_old_lease_has_run_out)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.b_.contend(1);
-    bench.run(seconds(10));
-    bench.a_.store_.isCutOff_ = true;
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.b_.contend(1);
+    fixture.run(seconds(10));
+    fixture.a_.store_.isCutOff_ = true;
 
-    bench.run(seconds(60));
+    fixture.run(seconds(60));
 
-    cr_assert_not(bench.a_.lease_.isHeld());
-    cr_assert(bench.b_.lease_.isHeld());
-    cr_assert_eq(bench.b_.lease_.epoch().value(), 2U);
+    cr_assert_not(fixture.a_.lease_.isHeld());
+    cr_assert(fixture.b_.lease_.isHeld());
+    cr_assert_eq(fixture.b_.lease_.epoch().value(), 2U);
 }
 
-Test(lease_keeper, holder_that_wakes_after_expiry_knows_at_once)
+Test(lease_keeper, holder_resumed_after_expiry_does_not_hold_the_lease)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.b_.contend(1);
-    bench.run(seconds(5));
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.b_.contend(1);
+    fixture.run(seconds(5));
 
-    bench.a_.clock_.pause();
-    bench.run(seconds(40));
-    const bool isHeldBeforeAnyTimer = bench.a_.lease_.isHeld();
-    bench.a_.clock_.resume();
-    bench.run(seconds(30));
+    fixture.a_.clock_.pause();
+    fixture.run(seconds(40));
+    const bool isHeldBeforeAnyTimer = fixture.a_.lease_.isHeld();
+    fixture.a_.clock_.resume();
+    fixture.run(seconds(30));
 
     cr_assert_not(isHeldBeforeAnyTimer);
-    cr_assert_not(bench.a_.lease_.isHeld());
-    cr_assert(bench.b_.lease_.isHeld());
+    cr_assert_not(fixture.a_.lease_.isHeld());
+    cr_assert(fixture.b_.lease_.isHeld());
 }
 
 Test(lease_keeper, clock_jump_past_the_lease_ends_it_without_a_timer)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.run(seconds(1));
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.run(seconds(1));
 
-    bench.clock_.jump(seconds(30));
+    fixture.clock_.jump(seconds(30));
 
-    cr_assert_not(bench.a_.lease_.isHeld());
+    cr_assert_not(fixture.a_.lease_.isHeld());
 }
 
 Test(lease_keeper, lost_answer_to_the_first_write_still_gains_the_lease)
 {
-    Bench bench;
-    bench.platform_.faults_.loseNextAnswers_ = 1;
-    bench.a_.contend();
+    LeaseFixture fixture;
+    fixture.platform_.faults_.loseNextAnswers_ = 1;
+    fixture.a_.contend();
 
-    bench.run(seconds(1));
+    fixture.run(seconds(1));
 
-    cr_assert(bench.a_.lease_.isHeld());
-    cr_assert_eq(bench.a_.lease_.epoch().value(), 1U);
+    cr_assert(fixture.a_.lease_.isHeld());
+    cr_assert_eq(fixture.a_.lease_.epoch().value(), 1U);
 }
 
 Test(lease_keeper, lost_answers_to_renewals_do_not_lose_the_lease)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.b_.contend(1);
-    bench.run(seconds(2));
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.b_.contend(1);
+    fixture.run(seconds(2));
 
     for (int round = 0; round < 20; ++round) {
-        bench.platform_.faults_.loseNextAnswers_ = 1;
-        bench.run(seconds(4));
+        fixture.platform_.faults_.loseNextAnswers_ = 1;
+        fixture.run(seconds(4));
     }
 
-    cr_assert(bench.a_.lease_.isHeld());
-    cr_assert_eq(bench.a_.lease_.epoch().value(), 1U);
+    cr_assert(fixture.a_.lease_.isHeld());
+    cr_assert_eq(fixture.a_.lease_.epoch().value(), 1U);
 }
 
 Test(lease_keeper, write_without_known_effect_is_never_assumed)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.run(seconds(2));
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.run(seconds(2));
 
-    bench.platform_.faults_.losesRequests_ = true;
-    bench.run(seconds(15));
-    const bool isHeldMeanwhile = bench.a_.lease_.isHeld();
-    bench.platform_.faults_.losesRequests_ = false;
-    bench.run(seconds(30));
+    fixture.platform_.faults_.losesRequests_ = true;
+    fixture.run(seconds(15));
+    const bool isHeldMeanwhile = fixture.a_.lease_.isHeld();
+    fixture.platform_.faults_.losesRequests_ = false;
+    fixture.run(seconds(30));
 
     cr_assert_not(isHeldMeanwhile);
-    cr_assert(bench.a_.lease_.isHeld());
+    cr_assert(fixture.a_.lease_.isHeld());
 }
 
 Test(lease_keeper, holder_resumes_after_a_store_outage_in_which_nobody_took_over)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.b_.contend(1);
-    bench.run(seconds(2));
-    bench.platform_.faults_.isDown_ = true;
-    bench.run(std::chrono::minutes(10));
-    const bool isHeldMeanwhile = bench.a_.lease_.isHeld() || bench.b_.lease_.isHeld();
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.b_.contend(1);
+    fixture.run(seconds(2));
+    fixture.platform_.faults_.isDown_ = true;
+    fixture.run(std::chrono::minutes(10));
+    const bool isHeldMeanwhile = fixture.a_.lease_.isHeld() || fixture.b_.lease_.isHeld();
 
-    bench.platform_.faults_.isDown_ = false;
-    bench.run(seconds(30));
+    fixture.platform_.faults_.isDown_ = false;
+    fixture.run(seconds(30));
 
     cr_assert_not(isHeldMeanwhile);
-    cr_assert(bench.a_.lease_.isHeld() || bench.b_.lease_.isHeld());
+    cr_assert(fixture.a_.lease_.isHeld() || fixture.b_.lease_.isHeld());
 }
 
-Test(lease_keeper, release_lets_the_next_candidate_in_without_waiting_the_lease_out)
+Test(lease_keeper, release_lets_the_next_candidate_acquire_before_expiry)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.b_.contend(1);
-    bench.run(seconds(20));
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.b_.contend(1);
+    fixture.run(seconds(20));
 
-    bench.a_.lease_.release();
-    cr_assert_not(bench.a_.lease_.isHeld());
-    bench.run(seconds(10));
+    fixture.a_.lease_.release();
+    cr_assert_not(fixture.a_.lease_.isHeld());
+    fixture.run(seconds(10));
 
-    cr_assert(bench.a_.lease_.isReleased());
-    cr_assert(bench.b_.lease_.isHeld());
+    cr_assert(fixture.a_.lease_.isReleased());
+    cr_assert(fixture.b_.lease_.isHeld());
 }
 
-Test(lease_keeper, candidate_that_loses_its_place_hands_the_lease_over)
+Test(lease_keeper, holder_without_a_rank_releases_the_lease)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.run(seconds(5));
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.run(seconds(5));
 
-    bench.a_.lease_.setCandidateRank(std::nullopt);
-    bench.b_.contend();
-    bench.run(seconds(10));
+    fixture.a_.lease_.setCandidateRank(std::nullopt);
+    fixture.b_.contend();
+    fixture.run(seconds(10));
 
-    cr_assert_not(bench.a_.lease_.isHeld());
-    cr_assert(bench.b_.lease_.isHeld());
+    cr_assert_not(fixture.a_.lease_.isHeld());
+    cr_assert(fixture.b_.lease_.isHeld());
 }
 
-Test(lease_keeper, new_holder_is_quiet_for_the_longest_flight_of_an_order)
+Test(lease_keeper, new_holder_waits_for_orders_in_transit)
 {
-    Bench bench;
-    bench.a_.contend();
-    bench.run(seconds(5));
-    bench.a_.lease_.release();
-    bench.b_.contend();
+    LeaseFixture fixture;
+    fixture.a_.contend();
+    fixture.run(seconds(5));
+    fixture.a_.lease_.release();
+    fixture.b_.contend();
 
-    cr_assert_not(bench.b_.lease_.isHeld());
-    while (!bench.b_.lease_.isHeld())
-        bench.run(milliseconds(50));
+    cr_assert_not(fixture.b_.lease_.isHeld());
+    while (!fixture.b_.lease_.isHeld())
+        fixture.run(milliseconds(50));
 
-    const Duration quiet = bench.b_.lease_.quietUntil() - bench.clock_.now();
+    const Duration quiet = fixture.b_.lease_.quietUntil() - fixture.clock_.now();
     cr_assert(quiet > LeaseSettings{}.orderFlight_ - milliseconds(100));
 }
 
-Test(lease_keeper, restarted_holder_is_another_process_and_waits_the_old_lease_out)
+Test(lease_keeper, restarted_holder_waits_for_expiry_of_its_previous_lease)
 {
     ManualClock clock;
     FakePlatform platform(clock);
@@ -291,18 +291,18 @@
     cr_assert_eq(after.epoch().value(), 2U);
 }
 
-Test(lease_keeper, others_than_candidates_leave_the_store_alone)
+Test(lease_keeper, non_candidates_do_not_access_the_store)
 {
-    Bench bench;
-    bench.b_.lease_.start();
+    LeaseFixture fixture;
+    fixture.b_.lease_.start();
 
-    bench.run(seconds(60));
+    fixture.run(seconds(60));
 
-    cr_assert_eq(bench.platform_.reads_, 0U);
-    cr_assert_eq(bench.platform_.commits_, 0U);
+    cr_assert_eq(fixture.platform_.reads_, 0U);
+    cr_assert_eq(fixture.platform_.commits_, 0U);
 }
 
-/// Seeded interleavings of pauses, cut-offs, lost answers and outages with three contenders.
+/// Three candidates under random pauses, disconnects, lost answers and outages, for fixed seeds.
 Test(lease_keeper, random_faults_never_make_two_holders)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
--- a/tests/leases/lease_rows.cpp
+++ b/tests/leases/lease_rows.cpp
@@ -40,7 +40,7 @@
     cr_assert(ranks == (std::map<std::uint32_t, int>{{0, 1}, {1, 1}, {2, 1}}));
 }
 
-Test(candidate_rank, loss_of_the_first_moves_the_second_up)
+Test(candidate_rank, loss_of_the_first_candidate_promotes_the_second)
 {
     const std::vector<EntryId> all{EntryId("a"), EntryId("b"), EntryId("c")};
     std::vector<EntryId> rest;
