--- a/include/cardamombay/membership/digest.hpp
+++ b/include/cardamombay/membership/digest.hpp
@@ -1,7 +1,8 @@
 /// \file
-/// \brief What entry VMs tell each other: changes plus a short heartbeat.
-/// \details Values only. Times travel as ages, as no clock is shared. A digest carries what peers
-/// need for the promises on freshness, on leaving VMs and on rising configuration versions.
+/// \brief Gossip message between entry VMs: incremental changes plus a short heartbeat.
+/// \details Plain values. Times are transmitted as ages because no clock is shared. The payload
+/// keeps observations of endpoint VMs fresh and spreads vetoes of leaving VMs and configuration
+/// versions.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -16,7 +17,7 @@
 
 namespace cardamombay::membership {
 
-/// \brief Where a member of the entry VMs stands, as seen by the sender.
+/// \brief Status of an entry VM as seen by the sender.
 enum class MemberStatus { Alive, Suspect, Dead, Left };
 
 /// \brief One entry VM in a digest.
@@ -34,7 +35,7 @@
     friend bool operator==(const MemberEntry &, const MemberEntry &) = default;
 };
 
-/// \brief Observation of an endpoint VM, with its age when the digest was made.
+/// \brief Observation of an endpoint VM, with its age when the digest was created.
 struct ObservationEntry
 {
     endpoint::EndpointState state_;
@@ -44,7 +45,7 @@
     friend bool operator==(const ObservationEntry &, const ObservationEntry &) = default;
 };
 
-/// \brief New load of an endpoint VM whose state is otherwise as the receiver knows it.
+/// \brief Updated load of an endpoint VM whose other state the receiver already has.
 struct LoadEntry
 {
     VmId vm_;
@@ -53,7 +54,8 @@
     friend bool operator==(const LoadEntry &, const LoadEntry &) = default;
 };
 
-/// \brief An endpoint VM that refused the sender's connection, or was another VM by then.
+/// \brief An endpoint VM that refused the sender's connection, or whose address now belongs to
+/// another VM.
 struct GoneEntry
 {
     VmId vm_;
@@ -62,18 +64,18 @@
     friend bool operator==(const GoneEntry &, const GoneEntry &) = default;
 };
 
-/// \brief An endpoint VM learnt to be leaving; new work to it is vetoed.
+/// \brief Veto of new work for an endpoint VM that is leaving.
 struct LeavingEntry
 {
     VmId vm_;
-    Duration age_{};          ///< Since the first entry VM learnt it.
-    std::uint64_t count_ = 1; ///< Changes so far: odd is leaving, even is lifted; highest wins.
-    Incarnation incarnation_; ///< Of the VM when it was vetoed; none if unknown.
+    Duration age_{};          ///< Time since the first entry VM learned of it.
+    std::uint64_t count_ = 1; ///< Change counter: odd is leaving, even is lifted; highest wins.
+    Incarnation incarnation_; ///< Of the VM when the veto began; none if unknown.
 
     friend bool operator==(const LeavingEntry &, const LeavingEntry &) = default;
 };
 
-/// \brief In-flight requests the sender has at a group.
+/// \brief Number of requests the sender has in flight at a group.
 struct InFlightEntry
 {
     GroupId group_;
@@ -82,11 +84,11 @@
     friend bool operator==(const InFlightEntry &, const InFlightEntry &) = default;
 };
 
-/// \brief Which digest of the receiver the sender had received last, and how long ago.
-/// \details The receiver knows when it sent that digest, so sending time plus hold is an instant,
-/// on its own clock, after which the present digest was made. Ages are counted from that instant;
-/// no allowance for the flight has to be guessed, and a digest that waited in a buffer while its
-/// receiver was paused counts as old.
+/// \brief The last digest the sender received from the receiver, and how long ago.
+/// \details The receiver knows when it sent that digest. Its send time plus the hold time is thus
+/// an instant, on the receiver's own clock, before which the current digest was not created. Ages
+/// are counted from that instant, so no transit time has to be estimated, and a digest that waited
+/// in a buffer while its receiver was paused counts as old.
 struct EchoEntry
 {
     std::uint64_t sequence_ = 0; ///< Zero: no digest received yet.
@@ -95,22 +97,22 @@
     friend bool operator==(const EchoEntry &, const EchoEntry &) = default;
 };
 
-/// \brief What the sender's observations in this digest mean as a whole.
-/// \details Each watcher numbers the changes of the set of VMs it observes. A digest holds what
-/// changed since base_, the last revision that the receiver said it has; one line then says that
-/// everything at revision_ was seen within age_.
+/// \brief Revision range and age of the sender's observations.
+/// \details Each watcher numbers the changes to its set of observed VMs. A digest holds the changes
+/// since base_, the last revision acknowledged by the receiver. The summary states that every VM of
+/// the set at revision_ was observed within age_.
 struct WatchSummary
 {
     std::uint64_t base_ = 0; ///< Zero: the observations are the whole set.
     std::uint64_t revision_ = 0;
     Duration age_{};            ///< Age of the oldest observation of the set.
-    std::uint64_t applied_ = 0; ///< Revision of the receiver's own set that the sender has.
-    std::vector<VmId> removed_; ///< Not observed any longer, or silent.
+    std::uint64_t applied_ = 0; ///< Acknowledged revision of the receiver's own set.
+    std::vector<VmId> removed_; ///< No longer observed, or not answering.
 
     friend bool operator==(const WatchSummary &, const WatchSummary &) = default;
 };
 
-/// \brief Members of a region in a few bytes; unequal hashes call for the whole table.
+/// \brief Hash of the members of a region; a mismatch triggers a transfer of the full table.
 struct RegionSummary
 {
     RegionName region_;
@@ -119,7 +121,7 @@
     friend bool operator==(const RegionSummary &, const RegionSummary &) = default;
 };
 
-/// \brief Configuration in force at a site, as its entry VMs report it.
+/// \brief Configuration versions in use at a site, as reported by its entry VMs.
 struct SiteSummary
 {
     AvailabilityZone zone_;
@@ -140,7 +142,7 @@
     friend bool operator==(const ReachRequest &, const ReachRequest &) = default;
 };
 
-/// \brief A member that the sender reached on request, and how long ago.
+/// \brief Result of a ReachRequest: a member that the sender reached, and how long ago.
 struct ReachReport
 {
     EntryId target_;
@@ -150,11 +152,11 @@
     friend bool operator==(const ReachReport &, const ReachReport &) = default;
 };
 
-/// \brief One message between entry VMs; also the shape of the answer to it.
+/// \brief Message between entry VMs; requests and answers have the same form.
 struct Digest
 {
     MemberEntry from_;
-    EntryId to_; ///< Empty if the sender does not know who listens at the address.
+    EntryId to_; ///< Empty if the sender does not know which entry VM has the address.
     std::uint64_t sequence_ = 0;
     std::vector<MemberEntry> members_; ///< Changes only, piggybacked.
     std::vector<ObservationEntry> observations_;
@@ -162,15 +164,15 @@
     std::vector<routing::DemandReport> demand_;
     std::vector<InFlightEntry> inFlight_;
     EchoEntry echo_;
-    bool wantsTable_ = false;    ///< The sender joins: the answer holds every member.
-    bool wantsPayload_ = false;  ///< The answer holds observations, demand and the like.
-    ConfigVersion newestConfig_; ///< Highest version that the sender has heard of.
+    bool wantsTable_ = false;    ///< The sender is joining and requests all members.
+    bool wantsPayload_ = false;  ///< The sender requests observations, demand and other payload.
+    ConfigVersion newestConfig_; ///< Highest version known to the sender.
     std::optional<WatchSummary> watch_;
     std::vector<RegionSummary> regions_;
     std::vector<SiteSummary> sites_;
     std::vector<ReachRequest> reachRequests_;
     std::vector<ReachReport> reachReports_;
-    std::vector<LoadEntry> loads_; ///< Part of the set that watch_ is about.
+    std::vector<LoadEntry> loads_; ///< Belong to the set summarized by watch_.
     std::vector<GoneEntry> gone_;
 
     friend bool operator==(const Digest &, const Digest &) = default;
--- a/include/cardamombay/membership/member_table.hpp
+++ b/include/cardamombay/membership/member_table.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief The members as this entry VM knows them; charts/member.toml holds the rules.
-/// \details Decides which report of a member is newer, by incarnation and status. It sends nothing
-/// and has no timers.
+/// \brief Table of the members known to this entry VM.
+/// \details Status changes follow the state machine in charts/member.toml, which orders reports by
+/// incarnation and status. The table neither sends messages nor sets timers.
 #pragma once
 
 #include <cardamombay/chart/machine.hpp>
@@ -16,27 +16,27 @@
 
 namespace cardamombay::membership {
 
-/// \brief One member with the times this entry VM needs.
+/// \brief A member and when it was last heard from.
 struct Member
 {
     MemberEntry entry_;
-    TimePoint heardAt_{};     ///< Latest instant at which it certainly ran; zero is never.
-    TimePoint statusSince_{}; ///< On this entry VM's clock.
+    TimePoint heardAt_{};     ///< Latest time at which it was known to run; zero if never.
+    TimePoint statusSince_{}; ///< Time of the last status change on the local clock.
 };
 
-/// \brief What the guards and actions of the chart work on.
+/// \brief Context of the guards and actions in charts/member.toml.
 struct MemberEvent
 {
     Member *member_ = nullptr;
-    const MemberEntry *report_ = nullptr; ///< Null for own evidence.
+    const MemberEntry *report_ = nullptr; ///< Null for a local observation.
 };
 
 using MemberProgramPtr = chart::ProgramPtr<MemberEvent>;
 
-/// \brief Checks \p chart, which is charts/member.toml, against the code; done once, at start.
+/// \brief Binds \p chart, loaded from charts/member.toml, to the code.
 [[nodiscard]] Result<MemberProgramPtr> makeMemberProgram(const chart::Chart &chart);
 
-/// \brief Table of the other members.
+/// \brief Table of all members except this entry VM.
 class MemberTable
 {
 public:
@@ -47,32 +47,32 @@
     {
     }
 
-    /// \brief Takes a report into account.
-    /// \returns true if it changed something that has to be passed on.
+    /// \brief Applies a report received from a peer.
+    /// \returns true if it made a change that must be disseminated.
     bool apply(const MemberEntry &report, TimePoint now);
 
-    /// \brief Own evidence: the member did not answer, directly or through others.
+    /// \brief Marks a member suspect after direct and indirect probes failed.
     bool suspect(const EntryId &id, TimePoint now);
-    /// \brief Own evidence: the suspicion was not refuted in time.
+    /// \brief Marks a suspect dead after the suspicion was not refuted in time.
     bool declareDead(const EntryId &id, TimePoint now);
-    /// \brief Own evidence: the member ran at \p when with \p incarnation.
-    /// \returns true if this ended a suspicion held here.
+    /// \brief Records that the member was running at \p when with \p incarnation.
+    /// \returns true if this cleared a local suspicion.
     bool heard(const EntryId &id, Incarnation incarnation, TimePoint when, TimePoint now);
 
-    /// \brief Pushes every running suspicion back by \p gap, the time this process stood still.
-    void postpone(Duration gap);
+    /// \brief Extends all pending suspicions by \p gap, the time this process was paused.
+    void extendSuspicions(Duration gap);
 
-    /// \brief Forgets members that have been dead or left since before \p limit.
-    void forgetBefore(TimePoint limit);
+    /// \brief Removes members that died or left before \p limit.
+    void purgeBefore(TimePoint limit);
 
     [[nodiscard]] const Member *find(const EntryId &id) const;
     [[nodiscard]] const Members &members() const { return members_; }
     [[nodiscard]] const std::set<EntryId> &suspects() const { return suspects_; }
     [[nodiscard]] std::size_t aliveCount() const { return aliveCount_; }
 
-    /// \brief Hash over identifier and incarnation of the live members of \p region.
+    /// \brief Hash over identifiers and incarnations of the live members of \p region.
     [[nodiscard]] std::uint64_t regionHash(const RegionName &region) const;
-    /// \brief Instant of the last change in \p region.
+    /// \brief Time of the last change in \p region.
     [[nodiscard]] TimePoint regionChangedAt(const RegionName &region) const;
     [[nodiscard]] std::vector<RegionName> regions() const;
 
@@ -83,8 +83,9 @@
         TimePoint changedAt_{};
     };
 
-    bool raise(const EntryId &id, std::string_view event, const MemberEntry *report, TimePoint now);
-    void account(const MemberEntry &entry, bool isAdded, TimePoint now);
+    bool dispatch(const EntryId &id, std::string_view event, const MemberEntry *report,
+                  TimePoint now);
+    void updateRegion(const MemberEntry &entry, bool isAdded, TimePoint now);
 
     MemberProgramPtr program_;
     Members members_;
@@ -97,7 +98,7 @@
 /// \brief True for Alive and Suspect.
 [[nodiscard]] bool isLive(MemberStatus status);
 
-/// \brief Hash of one live member; a region's hash is the exclusive or of them.
+/// \brief Hash of one live member; the hash of a region is the XOR of its members' hashes.
 [[nodiscard]] std::uint64_t memberHash(const EntryId &id, Incarnation incarnation);
 
 } // namespace cardamombay::membership
--- a/include/cardamombay/membership/membership.hpp
+++ b/include/cardamombay/membership/membership.hpp
@@ -1,11 +1,13 @@
 /// \file
-/// \brief Membership between entry VMs: who runs, who is suspected, who left.
-/// \details Decides which entry VMs are alive, by exchanging digests with the peers of the site,
-/// probing the other members of the region in turn, directly and through others, and by suspicion
-/// that the member itself can refute. Regions are joined by a few bridges that pass on changes and
-/// summaries. It carries the observations, vetoes and demand of other modules and never decides on
-/// them. It never elects anyone and agrees on nothing: what must be agreed goes through the
-/// platform's store. Guards promises 1 and 6 by making ages of digests sound, also across pauses.
+/// \brief SWIM-style membership and failure detection between entry VMs.
+/// \details Each entry VM exchanges digests with the peers in its scope, probes the other members
+/// of its region in turn, directly and indirectly, and suspects a silent member, which can refute
+/// the suspicion. A few bridges per region exchange changes and summaries with other regions.
+/// Digests also carry the observations, vetoes and demand of other modules; membership adjusts
+/// their ages but bases no decision on them. It elects no leader and provides no consensus;
+/// decisions that need agreement use the platform's store. Ages in digests are upper bounds, also
+/// across process pauses, so that no group serves on a stale observation of a member and no leaving
+/// VM gets new work.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -36,12 +38,12 @@
     std::uint64_t indirectProbes_ = 0;
     std::uint64_t suspicions_ = 0;
     std::uint64_t deaths_ = 0;
-    std::uint64_t refutations_ = 0; ///< Of suspicions against this entry VM.
-    std::uint64_t wakes_ = 0;
+    std::uint64_t refutations_ = 0; ///< Of reports about this entry VM.
+    std::uint64_t pausesDetected_ = 0;
     std::uint64_t tablesSent_ = 0;
 };
 
-/// \brief One entry VM's part in the membership protocol.
+/// \brief Membership protocol instance of one entry VM.
 /// \code
 /// auto program = makeMemberProgram(valueOf(charts.load("member")));
 /// Membership membership(clock, transport, Random(seed), settings, self, valueOf(program));
@@ -52,76 +54,80 @@
 class Membership
 {
 public:
-    /// \brief Adds to a digest that goes to a peer in scope.
+    /// \brief Adds the payload to a digest for a peer.
     using PayloadSource = std::function<void(Digest &outgoing, const EntryId &peer)>;
-    /// \brief Takes the payload of a digest; its ages are already counted from now.
+    /// \brief Receives the payload of a digest, with ages adjusted to the time of the call.
     using PayloadSink = std::function<void(const Digest &)>;
-    /// \brief Told after a member appeared or changed in anything but its configuration version.
+    /// \brief Called after a member was added or changed, except in its configuration version only.
     using ChangeHandler = std::function<void(const MemberEntry &)>;
 
     /// \param clock the runtime clock.
-    /// \param transport carries digests.
-    /// \param random seeded; decides targets and phases only.
-    /// \param settings periods and bounds.
-    /// \param self this entry VM; its incarnation is higher than in any former run if possible, and
-    /// raised by itself otherwise.
-    /// \param program of charts/member.toml, shared by all.
+    /// \param transport sends digests.
+    /// \param random source for probe targets and the first sequence number.
+    /// \param settings timing parameters and limits.
+    /// \param self this entry VM. Its incarnation should exceed that of any previous run; otherwise
+    /// it is raised when a peer reports a higher one.
+    /// \param program state machine of charts/member.toml, shared by all instances.
     Membership(Clock &clock, PeerTransport &transport, Random random, MembershipSettings settings,
                MemberEntry self, MemberProgramPtr program);
     Membership(const Membership &) = delete;
     Membership &operator=(const Membership &) = delete;
     ~Membership();
 
-    /// \name Life
+    /// \name Lifecycle
     /// \{
-    /// \brief Begins to exchange digests; \p seeds are addresses of peers that may exist.
+    /// \brief Starts exchanging digests; \p seeds are addresses of possible peers.
     void start(std::span<const Address> seeds);
     /// \brief Adds addresses to join through, such as the entry VMs of the VM list.
     void addSeeds(std::span<const Address> seeds);
-    /// \brief Marks this entry VM as draining; spread to all.
+    /// \brief Sets whether this entry VM is draining, and disseminates it to all members.
     void setDraining(bool isDraining);
-    /// \brief Tells peers that this entry VM goes, and stops. It stays Left until destroyed.
+    /// \brief Notifies peers that this entry VM is leaving, and stops. The status remains Left.
     void leave();
-    /// \brief The configuration version in force here.
+    /// \brief Sets the configuration version in use on this entry VM; a lower version is ignored.
     void setConfigVersion(ConfigVersion version);
     /// \}
 
     /// \name Digests
     /// \{
-    /// \brief Takes a digest from a peer and returns the answer to it.
+    /// \brief Processes a digest from a peer and returns the answer.
     [[nodiscard]] Digest handle(const Digest &incoming);
     void setPayloadSource(PayloadSource source) { source_ = std::move(source); }
     void setPayloadSink(PayloadSink sink) { sink_ = std::move(sink); }
     void onChange(ChangeHandler handler) { onChange_ = std::move(handler); }
-    /// \brief Peers outside the scope whose payload is wanted, such as watchers of VMs elsewhere.
+    /// \brief Sets peers outside the scope to exchange payload with, such as watchers of VMs in
+    /// other sites.
     void setExtraPeers(std::span<const EntryId> peers);
-    /// \brief Exchanges with the scope within one tick: something urgent, such as a veto, changed.
+    /// \brief Requests an early exchange with all peers in scope after an urgent change, such as a
+    /// veto; at most one per MembershipSettings::flushGap_.
     void flushSoon() { isFlushWanted_ = true; }
     /// \}
 
-    /// \name What is known
+    /// \name State
     /// \{
     [[nodiscard]] const MemberEntry &self() const { return self_; }
     /// \brief The entry of another member, or null if it is unknown.
     [[nodiscard]] const MemberEntry *member(const EntryId &id) const;
-    /// \brief All members that are known, self included, by identifier.
+    /// \brief All known members, including self, sorted by identifier.
     [[nodiscard]] std::vector<MemberEntry> members() const;
-    /// \brief Members that may be alive (Alive or Suspect), self included unless it left.
+    /// \brief Members with status Alive or Suspect, including self unless it left.
     [[nodiscard]] std::vector<MemberEntry> aliveMembers() const;
-    /// \brief The live peers whose payload arrives each period.
+    /// \brief The live peers with which payload is exchanged every period.
     [[nodiscard]] std::vector<EntryId> scopePeers() const;
-    /// \brief Highest configuration version that was heard of, here or from any member.
+    /// \brief Highest configuration version known from any member.
     [[nodiscard]] ConfigVersion highestConfigVersion() const { return newestConfig_; }
-    /// \brief Configuration in force by site, own site first-hand, others by their summaries.
+    /// \brief Configuration versions by site: the own site from the member table, which comes
+    /// first, the others from received summaries.
     [[nodiscard]] std::vector<SiteSummary> siteSummaries() const;
     [[nodiscard]] const MembershipCounters &counters() const { return counters_; }
     /// \}
 
-    /// \name Pauses
+    /// \name Process pauses
     /// \{
-    /// \brief Length of the last pause of this process; zero if there was none.
-    [[nodiscard]] Duration lastWakeGap() const { return lastWakeGap_; }
-    /// \brief False from a wake until peers have answered again, or until they had the time to.
+    /// \brief Duration of the last pause of this process; zero if there was none.
+    [[nodiscard]] Duration lastPauseDuration() const { return lastPauseDuration_; }
+    /// \brief False during a pause of this process, and after it until a peer has answered or the
+    /// time for an answer has passed.
     [[nodiscard]] bool isTrusted() const;
     /// \}
 
@@ -130,10 +136,10 @@
     {
         PeerLink link_;
         TimePoint nextExchangeAt_{};
-        TimePoint probeDeadline_{}; ///< Of the probe that is awaited.
-        bool isIndirect_ = false;   ///< The indirect probes have left.
+        TimePoint probeDeadline_{}; ///< Of the pending probe.
+        bool isIndirect_ = false;   ///< The indirect probes have been sent.
         TimePoint probeSentAt_{};
-        TimePoint askedAt_{}; ///< Last digest that was sent to it unasked.
+        TimePoint lastContactedAt_{}; ///< When send() last sent it a digest.
     };
     struct SentDigest
     {
@@ -150,28 +156,28 @@
 
     void scheduleTick(Duration delay);
     void tick();
-    void noticePause();
-    void wake(Duration gap);
-    void refresh();
+    void detectPause();
+    void resumeAfterPause(Duration gap);
+    void exchangeWithAllSoon();
 
-    void exchangeWithScope();
+    void startDueExchanges();
     void probeNext();
     void bridge();
     void rejoin();
     void join();
     void checkProbes();
     void checkProbe(const EntryId &id);
-    void forgetOld();
+    void purgeExpired();
     void checkSuspicions();
     void probeIndirectly(const EntryId &target);
 
     void send(const Member &target, Channel channel, bool wantsPayload);
     void sendDigest(Address address, Digest digest, const SentDigest &sent);
-    void finished(const SentDigest &sent, const Result<Digest> &result);
-    void returnTable(const Digest &answer);
+    void onExchangeDone(const SentDigest &sent, const Result<Digest> &result);
+    void sendDifferingTable(const Digest &answer);
     void sendToSeed(const Address &seed);
     [[nodiscard]] Digest makeDigest(const EntryId &to, Channel channel, bool hasPayload);
-    void appendCleared(Digest &digest, const MemberEntry &entry);
+    void appendClearedSuspicion(Digest &digest, const MemberEntry &entry);
     void appendUpdates(Digest &digest, Channel channel);
     void appendSummaries(Digest &digest) const;
     void appendTable(Digest &digest, const RegionName &region) const;
@@ -180,13 +186,13 @@
     void noteHeard(const EntryId &id, Incarnation incarnation, TimePoint when);
     void applyReport(const MemberEntry &report);
     void refute(const MemberEntry &report);
-    void takeReachRequests(const Digest &digest);
-    void takeReachReports(const Digest &digest, std::optional<TimePoint> madeAfter);
-    void takeSites(const Digest &digest, TimePoint madeAfter);
-    void passOn(const Digest &digest, TimePoint madeAfter);
+    void handleReachRequests(const Digest &digest);
+    void applyReachReports(const Digest &digest, std::optional<TimePoint> madeAfter);
+    void mergeSiteSummaries(const Digest &digest, TimePoint madeAfter);
+    void deliverPayload(const Digest &digest, TimePoint madeAfter);
     [[nodiscard]] std::optional<RegionName> differingRegion(const Digest &digest);
 
-    void changed(const MemberEntry &entry);
+    void notifyChanged(const MemberEntry &entry);
     void noteConfigVersion(ConfigVersion version);
     void rebuildScope();
     [[nodiscard]] bool isInitiator(const EntryId &id) const;
@@ -208,11 +214,12 @@
     std::map<EntryId, Peer> peers_;
     std::set<EntryId> scope_;
     std::set<EntryId> extraPeers_;
-    std::set<EntryId> probed_; ///< Members from whom an answer is awaited.
+    std::set<EntryId> probed_; ///< Members with a pending probe.
     std::vector<EntryId> probeOrder_;
-    std::size_t regionSize_ = 0; ///< Other live members of the region.
+    std::size_t regionSize_ = 0; ///< Number of other live members of the region.
     std::map<EntryId, std::vector<EntryId>> reachRequesters_;
-    std::map<EntryId, Incarnation> cleared_; ///< Suspicions ended here that spread before.
+    /// Suspicions that ended here but may persist at other members.
+    std::map<EntryId, Incarnation> clearedSuspicions_;
     std::map<AvailabilityZone, RemoteSite> remoteSites_;
     std::vector<Address> seeds_;
     std::uint64_t nextSequence_;
@@ -229,15 +236,15 @@
     TimePoint nextRejoinAt_{};
     TimePoint nextSyncAt_{};
     TimePoint nextFlushAt_{};
-    TimePoint nextForgetAt_{};
-    TimePoint wokeAt_{};
-    Duration lastWakeGap_{};
+    TimePoint nextPurgeAt_{};
+    TimePoint resumedAt_{};
+    Duration lastPauseDuration_{};
     bool isAwaitingPeers_ = false;
     bool isScopeStale_ = true;
     bool isFlushWanted_ = false;
     bool hasJoined_ = false;
     bool isRunning_ = false;
-    std::shared_ptr<bool> alive_; ///< Guards answers that arrive after destruction.
+    std::shared_ptr<bool> alive_; ///< Expires on destruction, so that late answers are ignored.
 };
 
 } // namespace cardamombay::membership
--- a/include/cardamombay/membership/peer_link.hpp
+++ b/include/cardamombay/membership/peer_link.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Sequence numbers of the digests exchanged with one peer.
-/// \details Decides how old an incoming digest can be at most, from its echo of a digest sent
-/// before, so that no clock is shared. It sends nothing.
+/// \brief Tracks sequence numbers of the digests exchanged with one peer.
+/// \details Bounds the age of an incoming digest from its echo of an earlier outgoing digest, which
+/// requires no shared clock.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -13,20 +13,21 @@
 
 namespace cardamombay::membership {
 
-/// \brief Remembers what was sent to and received from one peer, to bound the age of digests.
+/// \brief Records the digests sent to and received from one peer, to bound the age of digests.
 class PeerLink
 {
 public:
-    /// \brief Notes that the digest \p sequence left at \p now.
+    /// \brief Records that digest \p sequence was sent at \p now.
     void noteSent(std::uint64_t sequence, TimePoint now);
 
-    /// \brief Notes that a digest arrived at \p now.
+    /// \brief Records that digest \p sequence was received at \p now.
     void noteReceived(std::uint64_t sequence, TimePoint now);
 
-    /// \brief The echo for the next digest to this peer.
+    /// \brief Echo to include in the next digest to this peer.
     [[nodiscard]] EchoEntry echo(TimePoint now) const;
 
-    /// \brief An instant before which a digest with \p echo was certainly not made.
+    /// \brief Earliest possible creation time of a digest with \p echo.
+    /// \returns none if \p echo matches none of the recently sent digests.
     [[nodiscard]] std::optional<TimePoint> madeAfter(const EchoEntry &echo, TimePoint now) const;
 
 private:
@@ -35,9 +36,9 @@
         std::uint64_t sequence_ = 0;
         TimePoint at_{};
     };
-    static constexpr std::size_t remembered = 6;
+    static constexpr std::size_t maxRememberedDigests = 6;
 
-    std::array<Sent, remembered> sent_{};
+    std::array<Sent, maxRememberedDigests> sent_{};
     std::size_t next_ = 0;
     std::uint64_t receivedSequence_ = 0;
     TimePoint receivedAt_{};
--- a/include/cardamombay/membership/peer_transport.hpp
+++ b/include/cardamombay/membership/peer_transport.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// \brief How a digest reaches another entry VM.
-/// \details The seam through which digests leave. Implementations neither retry nor judge; a lost
-/// digest is an error of the callback.
+/// \brief Transport interface for digests between entry VMs.
+/// \details Implementations do not retry; they report a lost digest as an error to the callback.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -10,7 +9,7 @@
 
 namespace cardamombay::membership {
 
-/// \brief Sends digests; the answer is the peer's digest. Answers arrive on the control thread.
+/// \brief Sends digests and returns the peer's digest as the answer, on the control thread.
 class PeerTransport
 {
 public:
--- a/include/cardamombay/membership/update_queue.hpp
+++ b/include/cardamombay/membership/update_queue.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Changes of members that wait to be piggybacked on digests.
-/// \details Decides which changes ride on the next digest: those sent the fewest times first. It
-/// sends nothing and keeps no content; the member table has it.
+/// \brief Queue of member changes to piggyback on digests.
+/// \details Selects the changes sent the fewest times. It stores only identifiers; the content is
+/// in the member table.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -14,24 +14,26 @@
 
 namespace cardamombay::membership {
 
-/// \brief Where a digest goes; each channel counts its own retransmissions, so that the frequent
-/// exchanges within a site do not use up what has to reach other sites and regions.
+/// \brief Destination class of a digest.
+/// \details Each channel counts its own retransmissions, so that the frequent exchanges within a
+/// site do not exhaust those intended for other sites and regions.
 enum class Channel { Scope, Region, Bridge };
 
-/// \brief Bounded piggybacking: each change is sent a limited number of times on each channel.
+/// \brief Bounded dissemination: each change is sent a limited number of times on each channel.
 class UpdateQueue
 {
 public:
-    /// \brief Queues the change of \p id, or starts it over.
+    /// \brief Queues a change of \p id; if one is queued already, resets its counters.
     void add(const EntryId &id, TimePoint now);
 
-    /// \brief Drops changes queued before \p limit; not every node uses every channel.
+    /// \brief Drops changes queued before \p limit.
+    /// \details Changes would otherwise stay queued on nodes that do not use every channel.
     void dropBefore(TimePoint limit);
 
-    /// \brief Takes up to \p limit changes for one digest, those sent least first.
-    /// \param channel where the digest goes.
-    /// \param limit most changes to take.
-    /// \param retransmits times a change is sent on each channel.
+    /// \brief Selects changes for one digest, those sent the fewest times first.
+    /// \param channel destination class of the digest.
+    /// \param limit maximum number of changes to return.
+    /// \param retransmits number of times a change is sent on each channel.
     [[nodiscard]] std::vector<EntryId> take(Channel channel, std::size_t limit,
                                             std::uint32_t retransmits);
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -88,9 +88,9 @@
         member.entry_.status_ = MemberStatus::Alive;
         member.statusSince_ = now;
         machines_.emplace(report.id_, chart::Machine<MemberEvent>(program_));
-        account(member.entry_, true, now);
+        updateRegion(member.entry_, true, now);
     }
-    const bool isChanged = raise(report.id_, reportEvent(report.status_), &report, now);
+    const bool isChanged = dispatch(report.id_, reportEvent(report.status_), &report, now);
     if (report.incarnation_ == member.entry_.incarnation_) {
         member.entry_.configVersion_
             = std::max(member.entry_.configVersion_, report.configVersion_);
@@ -100,12 +100,12 @@
 
 bool MemberTable::suspect(const EntryId &id, TimePoint now)
 {
-    return raise(id, probeFailedEvent, nullptr, now);
+    return dispatch(id, probeFailedEvent, nullptr, now);
 }
 
 bool MemberTable::declareDead(const EntryId &id, TimePoint now)
 {
-    return raise(id, expiredEvent, nullptr, now);
+    return dispatch(id, expiredEvent, nullptr, now);
 }
 
 bool MemberTable::heard(const EntryId &id, Incarnation incarnation, TimePoint when, TimePoint now)
@@ -114,11 +114,11 @@
     if (found == members_.end() || found->second.entry_.incarnation_ > incarnation)
         return false;
     found->second.heardAt_ = std::max(found->second.heardAt_, when);
-    return raise(id, heardEvent, nullptr, now);
+    return dispatch(id, heardEvent, nullptr, now);
 }
 
-bool MemberTable::raise(const EntryId &id, std::string_view event, const MemberEntry *report,
-                        TimePoint now)
+bool MemberTable::dispatch(const EntryId &id, std::string_view event, const MemberEntry *report,
+                           TimePoint now)
 {
     const auto found = members_.find(id);
     if (found == members_.end())
@@ -131,8 +131,8 @@
         return false;
     member.entry_.status_ = statusOf(machine.state());
     member.statusSince_ = now;
-    account(before, false, now);
-    account(member.entry_, true, now);
+    updateRegion(before, false, now);
+    updateRegion(member.entry_, true, now);
     if (member.entry_.status_ == MemberStatus::Suspect)
         suspects_.insert(id);
     else
@@ -140,13 +140,13 @@
     return true;
 }
 
-void MemberTable::postpone(Duration gap)
+void MemberTable::extendSuspicions(Duration gap)
 {
     for (const EntryId &id : suspects_)
         members_.at(id).statusSince_ += gap;
 }
 
-void MemberTable::forgetBefore(TimePoint limit)
+void MemberTable::purgeBefore(TimePoint limit)
 {
     std::erase_if(members_, [this, limit](const auto &item) {
         const Member &member = item.second;
@@ -184,7 +184,7 @@
     return names;
 }
 
-void MemberTable::account(const MemberEntry &entry, bool isAdded, TimePoint now)
+void MemberTable::updateRegion(const MemberEntry &entry, bool isAdded, TimePoint now)
 {
     Region &region = regions_[entry.region_];
     region.changedAt_ = now;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr Duration forgetPeriod = std::chrono::seconds(10);
-/// By then a change has gone out on every channel this node uses; what missed it is found by the
-/// comparison of tables.
+constexpr Duration purgePeriod = std::chrono::seconds(10);
+/// By then a change has been sent on every channel this node uses. Members that missed it are
+/// updated through the comparison of table hashes.
 constexpr Duration updateLifetime = std::chrono::seconds(60);
 
-/// Sequence numbers of two runs of one entry VM must not meet: an echo of the former run would
-/// give a digest a wrong age.
-std::uint64_t firstSequence(Random &random)
+/// Starts at a random number so that sequence numbers of two runs of an entry VM do not collide:
+/// echoing a digest of the previous run would give a wrong age.
+std::uint64_t randomFirstSequence(Random &random)
 {
     constexpr std::uint64_t span = 1ULL << 31U;
     return 1 + random.below(span);
 }
 
-double sizeFactor(std::size_t others)
+double logSizeFactor(std::size_t others)
 {
     return std::max(1.0, std::log10(static_cast<double>(others + 2)));
 }
@@ -39,7 +39,7 @@
     , settings_(settings)
     , self_(std::move(self))
     , table_(std::move(program))
-    , nextSequence_(firstSequence(random_))
+    , nextSequence_(randomFirstSequence(random_))
     , alive_(std::make_shared<bool>(true))
 {
     self_.status_ = MemberStatus::Alive;
@@ -110,7 +110,8 @@
     if (version <= newestConfig_)
         return;
     newestConfig_ = version;
-    // A few hops in quick succession carry it through the site, the region and the others.
+    // Exchange early on every channel, so that it spreads through the site, region and other
+    // regions.
     flushSoon();
     nextProbeAt_ = TimePoint{};
     nextBridgeAt_ = TimePoint{};
@@ -130,67 +131,67 @@
 
 void Membership::tick()
 {
-    noticePause();
+    detectPause();
     scheduleTick(settings_.tick_);
     if (isScopeStale_)
         rebuildScope();
     join();
     checkProbes();
     checkSuspicions();
-    exchangeWithScope();
+    startDueExchanges();
     probeNext();
     bridge();
     rejoin();
-    forgetOld();
+    purgeExpired();
 }
 
-void Membership::forgetOld()
+void Membership::purgeExpired()
 {
     const TimePoint now = clock_.now();
-    if (now < nextForgetAt_)
+    if (now < nextPurgeAt_)
         return;
-    nextForgetAt_ = now + forgetPeriod;
-    table_.forgetBefore(now - settings_.tombstoneTime_);
+    nextPurgeAt_ = now + purgePeriod;
+    table_.purgeBefore(now - settings_.tombstoneTime_);
     updates_.dropBefore(now - updateLifetime);
     const auto isUnknown = [this](const auto &item) { return table_.find(item.first) == nullptr; };
     std::erase_if(peers_, isUnknown);
-    std::erase_if(cleared_, isUnknown);
+    std::erase_if(clearedSuspicions_, isUnknown);
 }
 
 bool Membership::isTrusted() const
 {
-    const bool isPaused = isRunning_ && clock_.now() - nextTickAt_ > settings_.wakeThreshold_;
+    const bool isPaused = isRunning_ && clock_.now() - nextTickAt_ > settings_.pauseThreshold_;
     return !isPaused && !isAwaitingPeers_;
 }
 
-void Membership::noticePause()
+void Membership::detectPause()
 {
     if (!isRunning_)
         return;
     const TimePoint now = clock_.now();
     const Duration gap = now - nextTickAt_;
-    if (gap > settings_.wakeThreshold_) {
+    if (gap > settings_.pauseThreshold_) {
         nextTickAt_ = now;
-        wake(gap);
+        resumeAfterPause(gap);
     }
     const Duration allowed = settings_.probeTimeout_ + settings_.indirectTimeout_;
-    if (isAwaitingPeers_ && now - wokeAt_ > std::max(allowed, suspicionTimeout()))
+    if (isAwaitingPeers_ && now - resumedAt_ > std::max(allowed, suspicionTimeout()))
         isAwaitingPeers_ = false;
 }
 
-void Membership::wake(Duration gap)
+void Membership::resumeAfterPause(Duration gap)
 {
-    ++counters_.wakes_;
-    lastWakeGap_ = gap;
-    wokeAt_ = clock_.now();
+    ++counters_.pausesDetected_;
+    lastPauseDuration_ = gap;
+    resumedAt_ = clock_.now();
     isAwaitingPeers_ = table_.aliveCount() > 0;
-    table_.postpone(gap);
+    table_.extendSuspicions(gap);
     for (const EntryId &id : probed_)
         peer(id).probeDeadline_ += gap;
-    refresh();
+    exchangeWithAllSoon();
 }
 
-void Membership::refresh()
+void Membership::exchangeWithAllSoon()
 {
     for (auto &[id, other] : peers_)
         other.nextExchangeAt_ = TimePoint{};
@@ -243,14 +244,14 @@
 
 Duration Membership::suspicionTimeout() const
 {
-    // Only members of the region suspect each other, so only they need time to hear of it.
-    const double factor = settings_.suspicionFactor_ * sizeFactor(regionSize_);
+    // Suspicions are raised only within a region, so its size determines the dissemination time.
+    const double factor = settings_.suspicionFactor_ * logSizeFactor(regionSize_);
     return std::chrono::duration_cast<Duration>(factor * settings_.probePeriod_);
 }
 
 std::uint32_t Membership::retransmits() const
 {
-    const double factor = settings_.retransmitFactor_ * sizeFactor(table_.aliveCount());
+    const double factor = settings_.retransmitFactor_ * logSizeFactor(table_.aliveCount());
     return static_cast<std::uint32_t>(std::ceil(factor));
 }
 
--- a/src/membership/membership_digests.cpp
+++ b/src/membership/membership_digests.cpp
@@ -1,4 +1,4 @@
-// What a digest holds, and what is learnt from one.
+// Creation and processing of digests.
 #include <cardamombay/membership/membership.hpp>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 Digest Membership::handle(const Digest &incoming)
 {
-    noticePause();
+    detectPause();
     const TimePoint now = clock_.now();
     const EntryId from = incoming.from_.id_;
     Digest answer;
@@ -19,10 +19,10 @@
     }
     ++counters_.digestsHandled_;
     receive(incoming, peer(from).link_.madeAfter(incoming.echo_, now));
-    takeReachRequests(incoming);
+    handleReachRequests(incoming);
     const auto differing = differingRegion(incoming);
-    const bool isWide = !incoming.regions_.empty();
-    const Channel channel = isWide ? channelTo(incoming.from_) : Channel::Scope;
+    const bool hasRegionSummaries = !incoming.regions_.empty();
+    const Channel channel = hasRegionSummaries ? channelTo(incoming.from_) : Channel::Scope;
     answer = makeDigest(from, channel, incoming.wantsPayload_);
     answer.echo_ = EchoEntry{incoming.sequence_, Duration::zero()};
     if (incoming.wantsTable_) {
@@ -48,12 +48,12 @@
         PeerLink &link = peer(to).link_;
         digest.echo_ = link.echo(now);
         link.noteSent(digest.sequence_, now);
-        // A member that is not taken for alive must learn it, or it cannot refute.
+        // A member that is considered suspect or dead can refute it only after hearing of it.
         const Member *member = table_.find(to);
         if (member != nullptr && member->entry_.status_ != MemberStatus::Alive)
             digest.members_.push_back(member->entry_);
         else if (member != nullptr)
-            appendCleared(digest, member->entry_);
+            appendClearedSuspicion(digest, member->entry_);
     }
     appendUpdates(digest, channel);
     if (channel != Channel::Scope)
@@ -63,13 +63,13 @@
     return digest;
 }
 
-void Membership::appendCleared(Digest &digest, const MemberEntry &entry)
+void Membership::appendClearedSuspicion(Digest &digest, const MemberEntry &entry)
 {
-    const auto found = cleared_.find(entry.id_);
-    if (found == cleared_.end())
+    const auto found = clearedSuspicions_.find(entry.id_);
+    if (found == clearedSuspicions_.end())
         return;
     if (entry.incarnation_ > found->second) {
-        cleared_.erase(found);
+        clearedSuspicions_.erase(found);
         return;
     }
     MemberEntry suspected = entry;
@@ -118,11 +118,11 @@
         noteHeard(from.id_, from.incarnation_, *madeAfter);
     for (const MemberEntry &report : digest.members_)
         applyReport(report);
-    takeReachReports(digest, madeAfter);
+    applyReachReports(digest, madeAfter);
     if (!madeAfter)
         return;
-    takeSites(digest, *madeAfter);
-    passOn(digest, *madeAfter);
+    mergeSiteSummaries(digest, *madeAfter);
+    deliverPayload(digest, *madeAfter);
 }
 
 void Membership::noteHeard(const EntryId &id, Incarnation incarnation, TimePoint when)
@@ -130,10 +130,10 @@
     if (!table_.heard(id, incarnation, when, clock_.now()))
         return;
     const Member *member = table_.find(id);
-    // The suspicion may have reached others, who have no evidence of their own: only the member
-    // can refute it there, so it has to hear of it.
-    cleared_[id] = member->entry_.incarnation_;
-    changed(member->entry_);
+    // The suspicion may have spread to members without evidence of their own. Only the suspected
+    // member can refute it there, so it is told of the suspicion in later digests.
+    clearedSuspicions_[id] = member->entry_.incarnation_;
+    notifyChanged(member->entry_);
 }
 
 void Membership::applyReport(const MemberEntry &report)
@@ -145,15 +145,15 @@
         return;
     }
     if (table_.apply(report, clock_.now()))
-        changed(report);
+        notifyChanged(report);
 }
 
 void Membership::refute(const MemberEntry &report)
 {
-    const bool isFormerLife = report.incarnation_ > self_.incarnation_;
-    const bool isAccused
+    const bool isFromPreviousRun = report.incarnation_ > self_.incarnation_;
+    const bool isReportedNotAlive
         = report.status_ != MemberStatus::Alive && report.incarnation_ == self_.incarnation_;
-    if (self_.status_ == MemberStatus::Left || (!isFormerLife && !isAccused))
+    if (self_.status_ == MemberStatus::Left || (!isFromPreviousRun && !isReportedNotAlive))
         return;
     ++counters_.refutations_;
     self_.incarnation_ = report.incarnation_.next();
@@ -161,7 +161,7 @@
     flushSoon();
 }
 
-void Membership::takeReachReports(const Digest &digest, std::optional<TimePoint> madeAfter)
+void Membership::applyReachReports(const Digest &digest, std::optional<TimePoint> madeAfter)
 {
     if (!madeAfter)
         return;
@@ -170,7 +170,7 @@
     }
 }
 
-void Membership::takeSites(const Digest &digest, TimePoint madeAfter)
+void Membership::mergeSiteSummaries(const Digest &digest, TimePoint madeAfter)
 {
     for (const SiteSummary &summary : digest.sites_) {
         if (summary.zone_ == self_.zone_)
@@ -182,21 +182,21 @@
     }
 }
 
-void Membership::passOn(const Digest &digest, TimePoint madeAfter)
+void Membership::deliverPayload(const Digest &digest, TimePoint madeAfter)
 {
     if (!sink_)
         return;
-    const Duration flight = clock_.now() - madeAfter;
-    Digest counted = digest;
-    if (counted.watch_)
-        counted.watch_->age_ += flight;
-    for (ObservationEntry &observation : counted.observations_)
-        observation.age_ += flight;
-    for (GoneEntry &gone : counted.gone_)
-        gone.age_ += flight;
-    for (LeavingEntry &leaving : counted.leaving_)
-        leaving.age_ += flight;
-    sink_(counted);
+    const Duration transitTime = clock_.now() - madeAfter;
+    Digest adjusted = digest;
+    if (adjusted.watch_)
+        adjusted.watch_->age_ += transitTime;
+    for (ObservationEntry &observation : adjusted.observations_)
+        observation.age_ += transitTime;
+    for (GoneEntry &gone : adjusted.gone_)
+        gone.age_ += transitTime;
+    for (LeavingEntry &leaving : adjusted.leaving_)
+        leaving.age_ += transitTime;
+    sink_(adjusted);
 }
 
 std::optional<RegionName> Membership::differingRegion(const Digest &digest)
@@ -211,7 +211,7 @@
             = std::find_if(digest.regions_.begin(), digest.regions_.end(),
                            [&](const RegionSummary &r) { return r.region_ == summary.region_; });
         const bool isEqual = theirs != digest.regions_.end() && theirs->hash_ == summary.hash_;
-        // A change still on its way is no reason to send a whole table.
+        // A recent change may still be spreading, which does not justify a full table transfer.
         const bool isSettled
             = now - table_.regionChangedAt(summary.region_) > 3 * settings_.probePeriod_;
         if (isEqual || !isSettled)
@@ -222,7 +222,7 @@
     return std::nullopt;
 }
 
-void Membership::changed(const MemberEntry &entry)
+void Membership::notifyChanged(const MemberEntry &entry)
 {
     updates_.add(entry.id_, clock_.now());
     isScopeStale_ = true;
--- a/src/membership/membership_probing.cpp
+++ b/src/membership/membership_probing.cpp
@@ -1,4 +1,4 @@
-// Whom this entry VM sends digests to, and what follows from silence.
+// Target selection for outgoing digests, and failure detection.
 #include <cardamombay/membership/membership.hpp>
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace cardamombay::membership {
 
-void Membership::exchangeWithScope()
+void Membership::startDueExchanges()
 {
     const TimePoint now = clock_.now();
     const bool isFlush = isFlushWanted_ && now >= nextFlushAt_;
@@ -22,11 +22,12 @@
         if (member == nullptr || !isLive(member->entry_.status_))
             continue;
         Peer &other = peer(id);
-        const bool isMine = !isScope(id) || isInitiator(id);
-        // The other side starts the exchange, unless it has been silent.
-        const Duration patience
-            = isMine ? Duration::zero() : settings_.exchangePeriod_ + settings_.probeTimeout_;
-        const bool isSilent = now - member->heardAt_ >= patience;
+        const bool isInitiatedHere = !isScope(id) || isInitiator(id);
+        // If the peer is the initiator, exchange only after it has been silent for too long.
+        const Duration silenceLimit = isInitiatedHere
+                                          ? Duration::zero()
+                                          : settings_.exchangePeriod_ + settings_.probeTimeout_;
+        const bool isSilent = now - member->heardAt_ >= silenceLimit;
         if (isFlush || (now >= other.nextExchangeAt_ && isSilent))
             send(*member, Channel::Scope, true);
     }
@@ -91,7 +92,7 @@
         send(*dead[random_.below(dead.size())], Channel::Region, false);
         return;
     }
-    // Members forgotten during a long partition are found again through the seeds.
+    // Members purged from the table during a long partition are found again through the seeds.
     std::set<Address> live;
     for (const auto &[id, member] : table_.members()) {
         if (isLive(member.entry_.status_))
@@ -110,7 +111,7 @@
     const bool isAlone = table_.aliveCount() == 0;
     if ((hasJoined_ && !isAlone) || seeds_.empty() || now < nextSyncAt_)
         return;
-    // Until somebody answers, all seeds are asked once each probe period.
+    // Until a peer answers, all seeds are contacted once per probe period.
     nextSyncAt_ = now + settings_.probePeriod_;
     for (const Address &seed : seeds_)
         sendToSeed(seed);
@@ -142,41 +143,42 @@
     Peer &other = peer(id);
     const Member *member = table_.find(id);
     const bool isSilent = member != nullptr && member->heardAt_ < other.probeSentAt_;
-    const bool isOurs = isSilent && member->entry_.region_ == self_.region_;
-    if (isOurs && !other.isIndirect_) {
+    const bool isSilentInOwnRegion = isSilent && member->entry_.region_ == self_.region_;
+    if (isSilentInOwnRegion && !other.isIndirect_) {
         other.isIndirect_ = true;
         other.probeDeadline_ = now + settings_.indirectTimeout_;
         probeIndirectly(id);
         return;
     }
     probed_.erase(id);
-    if (!isOurs || !table_.suspect(id, now))
+    if (!isSilentInOwnRegion || !table_.suspect(id, now))
         return;
     ++counters_.suspicions_;
-    changed(member->entry_);
+    notifyChanged(member->entry_);
 }
 
 void Membership::checkSuspicions()
 {
     const TimePoint now = clock_.now();
     const Duration timeout = suspicionTimeout();
-    std::vector<EntryId> lapsed;
+    std::vector<EntryId> timedOut;
     for (const EntryId &id : table_.suspects()) {
         const Member &member = *table_.find(id);
         if (member.entry_.region_ != self_.region_)
             continue;
         const Duration held = now - member.statusSince_;
         if (held >= timeout)
-            lapsed.push_back(id);
-        // Nobody is declared dead on hearsay alone: it is asked once more, at half-time.
-        else if (held >= timeout / 2 && peer(id).askedAt_ < member.statusSince_)
+            timedOut.push_back(id);
+        // At half the timeout the suspect is contacted directly, so that no member is declared dead
+        // on reports of others alone.
+        else if (held >= timeout / 2 && peer(id).lastContactedAt_ < member.statusSince_)
             send(member, Channel::Region, false);
     }
-    for (const EntryId &id : lapsed) {
+    for (const EntryId &id : timedOut) {
         if (!table_.declareDead(id, now))
             continue;
         ++counters_.deaths_;
-        changed(table_.find(id)->entry_);
+        notifyChanged(table_.find(id)->entry_);
     }
 }
 
@@ -210,7 +212,7 @@
     Peer &other = peer(id);
     const Duration jitter = settings_.tick_ / 2;
     other.nextExchangeAt_ = now + settings_.exchangePeriod_ - jitter;
-    other.askedAt_ = now;
+    other.lastContactedAt_ = now;
     const bool isProbe = target.entry_.status_ == MemberStatus::Alive;
     if (isProbe && probed_.insert(id).second) {
         other.probeDeadline_ = now + settings_.probeTimeout_;
@@ -228,13 +230,13 @@
     transport_.exchange(std::move(address), std::move(digest),
                         [this, guard, sent](const Result<Digest> &result) {
                             if (!guard.expired())
-                                finished(sent, result);
+                                onExchangeDone(sent, result);
                         });
 }
 
-void Membership::finished(const SentDigest &sent, const Result<Digest> &result)
+void Membership::onExchangeDone(const SentDigest &sent, const Result<Digest> &result)
 {
-    noticePause();
+    detectPause();
     if (!isOk(result)) {
         ++counters_.exchangesFailed_;
         return;
@@ -247,13 +249,13 @@
     if (answer.from_.id_ == self_.id_)
         return;
     hasJoined_ = true;
-    if (sent.at_ >= wokeAt_)
+    if (sent.at_ >= resumedAt_)
         isAwaitingPeers_ = false;
     receive(answer, sent.at_);
-    returnTable(answer);
+    sendDifferingTable(answer);
 }
 
-void Membership::returnTable(const Digest &answer)
+void Membership::sendDifferingTable(const Digest &answer)
 {
     const auto region = differingRegion(answer);
     const Member *member = region ? table_.find(answer.from_.id_) : nullptr;
@@ -266,7 +268,7 @@
     sendDigest(member->entry_.address_, std::move(digest), sent);
 }
 
-void Membership::takeReachRequests(const Digest &digest)
+void Membership::handleReachRequests(const Digest &digest)
 {
     for (const ReachRequest &request : digest.reachRequests_) {
         const Member *member = table_.find(request.target_);
@@ -282,19 +284,19 @@
             request.address_, std::move(probe), [this, guard, sent](const Result<Digest> &result) {
                 if (guard.expired())
                     return;
-                finished(sent, result);
+                onExchangeDone(sent, result);
                 const auto waiting = reachRequesters_.extract(sent.target_);
                 if (waiting.empty() || !isOk(result) || valueOf(result).from_.id_ != sent.target_)
                     return;
                 for (const EntryId &requester : waiting.mapped()) {
-                    const Member *asker = table_.find(requester);
-                    if (asker == nullptr)
+                    const Member *requesterMember = table_.find(requester);
+                    if (requesterMember == nullptr)
                         continue;
                     Digest report = makeDigest(requester, Channel::Region, false);
                     report.reachReports_.push_back(ReachReport{
                         sent.target_, valueOf(result).from_.incarnation_, clock_.now() - sent.at_});
-                    const SentDigest back{requester, report.sequence_, clock_.now(), false};
-                    sendDigest(asker->entry_.address_, std::move(report), back);
+                    const SentDigest reportSent{requester, report.sequence_, clock_.now(), false};
+                    sendDigest(requesterMember->entry_.address_, std::move(report), reportSent);
                 }
             });
     }
--- a/src/membership/peer_link.cpp
+++ b/src/membership/peer_link.cpp
@@ -7,7 +7,7 @@
 void PeerLink::noteSent(std::uint64_t sequence, TimePoint now)
 {
     sent_[next_] = Sent{sequence, now};
-    next_ = (next_ + 1) % remembered;
+    next_ = (next_ + 1) % maxRememberedDigests;
 }
 
 void PeerLink::noteReceived(std::uint64_t sequence, TimePoint now)
--- a/tests/membership/failures.cpp
+++ b/tests/membership/failures.cpp
@@ -4,7 +4,7 @@
 
 using namespace cardamombay;
 using cardamombay::support::Fleet;
-using fixture::allBut;
+using fixture::allExcept;
 using fixture::isEveryoneAlive;
 using fixture::shape;
 using membership::MemberStatus;
@@ -53,7 +53,7 @@
     cr_assert(fleet.status(0, 6) == MemberStatus::Suspect);
 
     fleet.run(seconds(7));
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 6), {6}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 6), {6}));
 }
 
 Test(membership, member_of_a_large_region_is_found_dead_by_all_sites)
@@ -64,7 +64,7 @@
     fleet.kill(50);
     fleet.run(seconds(20));
 
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 50), {50}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 50), {50}));
 }
 
 Test(membership, death_reaches_other_regions)
@@ -76,10 +76,10 @@
     fleet.kill(9);
     fleet.run(seconds(30));
 
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 9), {9}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 9), {9}));
 }
 
-Test(membership, short_pause_is_refuted_and_not_taken_for_death)
+Test(membership, short_pause_is_refuted_and_declares_nobody_dead)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -95,7 +95,7 @@
         cr_assert_eq(fleet.node(index).counters().deaths_, 0);
 }
 
-Test(membership, woken_process_is_not_trusted_until_a_peer_answers)
+Test(membership, resumed_process_is_not_trusted_until_a_peer_answers)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -104,18 +104,18 @@
 
     fleet.pause(3);
     fleet.run(seconds(30));
-    cr_assert_not(node().isTrusted(), "it is known before any timer has run");
+    cr_assert_not(node().isTrusted(), "the pause must be detected before any timer has run");
     fleet.network_.partition({Fleet::id(3)});
     fleet.resume(3);
     cr_assert_not(node().isTrusted());
-    cr_assert_geq(node().lastWakeGap().count(), Duration(seconds(29)).count());
+    cr_assert_geq(node().lastPauseDuration().count(), Duration(seconds(29)).count());
     fleet.network_.heal();
     fleet.run(seconds(3));
 
     cr_assert(node().isTrusted());
 }
 
-Test(membership, woken_process_does_not_declare_others_dead_for_its_own_pause)
+Test(membership, resumed_process_declares_nobody_dead_for_its_own_pause)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -129,11 +129,11 @@
 
     cr_assert_eq(fleet.node(3).counters().deaths_, 0);
     cr_assert_eq(fleet.node(3).counters().suspicions_, 0);
-    cr_assert_eq(fleet.node(3).counters().wakes_, 5);
+    cr_assert_eq(fleet.node(3).counters().pausesDetected_, 5);
     cr_assert(isEveryoneAlive(fleet));
 }
 
-Test(membership, forward_clock_jump_of_all_kills_nobody)
+Test(membership, forward_clock_jump_of_all_nodes_declares_nobody_dead)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -162,7 +162,7 @@
     cr_assert_geq(members[6].incarnation_.value(), 100);
 }
 
-Test(membership, restart_with_a_lower_incarnation_outgrows_its_former_life)
+Test(membership, restart_with_a_lower_incarnation_overtakes_the_previous_run)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -170,7 +170,7 @@
     fleet.run(seconds(5));
     fleet.kill(6);
     fleet.run(seconds(20));
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 6), {6}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 6), {6}));
 
     fleet.restart(6, Incarnation(1));
     fleet.run(seconds(10));
@@ -179,7 +179,7 @@
     cr_assert_not(fleet.node(0).members()[6].isDraining_);
 }
 
-Test(membership, drain_and_leave_are_known_to_all_at_once)
+Test(membership, drain_and_leave_reach_all_members_within_seconds)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -192,11 +192,11 @@
     fleet.node(6).leave();
     fleet.kill(6);
     fleet.run(seconds(2));
-    cr_assert(fleet.allSee(MemberStatus::Left, allBut(fleet, 6), {6}));
+    cr_assert(fleet.allSee(MemberStatus::Left, allExcept(fleet, 6), {6}));
     cr_assert_eq(suspicions(fleet), 0);
 }
 
-Test(membership, late_report_of_a_former_incarnation_changes_nothing)
+Test(membership, late_report_of_an_earlier_incarnation_is_ignored)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -233,7 +233,7 @@
                   Duration(milliseconds(10)).count());
 
     fleet.pause(3);
-    fleet.run(milliseconds(500)); // Digests made now wait in node 3's buffer.
+    fleet.run(milliseconds(500)); // Digests sent now wait in the receive buffer of node 3.
     fleet.kill(0);
     fleet.run(seconds(20));
     ages.clear();
--- a/tests/membership/fixture.hpp
+++ b/tests/membership/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Fleets that the tests of membership share.
+/// \brief Fleet configurations and checks shared by the membership tests.
 #pragma once
 
 #include "support/fake_fleet.hpp"
@@ -15,7 +15,8 @@
     return {nodes, zones, regions, SOURCE_FOLDER "/charts"};
 }
 
-inline std::vector<std::size_t> allBut(const cardamombay::support::Fleet &fleet, std::size_t left)
+inline std::vector<std::size_t> allExcept(const cardamombay::support::Fleet &fleet,
+                                          std::size_t left)
 {
     std::vector<std::size_t> indexes = fleet.all();
     std::erase(indexes, left);
--- a/tests/membership/partitions.cpp
+++ b/tests/membership/partitions.cpp
@@ -6,7 +6,7 @@
 
 using namespace cardamombay;
 using cardamombay::support::Fleet;
-using fixture::allBut;
+using fixture::allExcept;
 using fixture::isEveryoneAlive;
 using fixture::shape;
 using membership::MemberStatus;
@@ -45,7 +45,7 @@
     cr_assert(isEveryoneAlive(fleet));
 }
 
-Test(membership, regions_that_lose_each_other_keep_their_own_members_and_find_back)
+Test(membership, partitioned_regions_keep_their_members_and_reconnect)
 {
     Fleet fleet(shape(20, 4, 2));
     fleet.run(seconds(15));
@@ -55,7 +55,7 @@
 
     fleet.network_.partition(side);
     fleet.run(minutes(5));
-    // The other region is out of sight, which is no evidence about its members.
+    // An unreachable region is no evidence that its members have failed.
     cr_assert(isEveryoneAlive(fleet));
     fleet.kill(18);
     fleet.run(seconds(20));
@@ -64,10 +64,10 @@
     fleet.network_.heal();
     fleet.run(seconds(40));
 
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 18), {18}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 18), {18}));
 }
 
-Test(membership, one_way_cut_between_two_nodes_kills_nobody)
+Test(membership, one_way_cut_between_two_nodes_declares_nobody_dead)
 {
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
@@ -85,11 +85,11 @@
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
 
-    for (const std::size_t index : allBut(fleet, 6))
+    for (const std::size_t index : allExcept(fleet, 6))
         fleet.network_.cut(Fleet::id(6), Fleet::id(index));
     fleet.run(seconds(15));
 
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 6), {6}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 6), {6}));
 }
 
 Test(membership, node_that_hears_nobody_but_can_send_does_not_look_alive)
@@ -97,12 +97,12 @@
     Fleet fleet(shape(7));
     fleet.run(seconds(5));
 
-    // Its digests arrive, but it never echoes what others sent: it cannot be working.
-    for (const std::size_t index : allBut(fleet, 6))
+    // Its digests arrive but echo no digest of the others, so they are no evidence that it works.
+    for (const std::size_t index : allExcept(fleet, 6))
         fleet.network_.cut(Fleet::id(index), Fleet::id(6));
     fleet.run(seconds(15));
 
-    cr_assert(fleet.allSee(MemberStatus::Dead, allBut(fleet, 6), {6}));
+    cr_assert(fleet.allSee(MemberStatus::Dead, allExcept(fleet, 6), {6}));
     fleet.network_.heal();
     fleet.run(seconds(15));
     cr_assert(isEveryoneAlive(fleet));
@@ -124,7 +124,7 @@
     cr_assert(isEveryoneAlive(fleet));
 }
 
-Test(membership, loss_duplication_and_reordering_kill_nobody)
+Test(membership, loss_duplication_and_reordering_declare_nobody_dead)
 {
     Fleet fleet(shape(12));
     fleet.network_.faults_.loss_ = 0.1;
