--- a/include/cardamombay/watching/endpoint_watcher.hpp
+++ b/include/cardamombay/watching/endpoint_watcher.hpp
@@ -1,10 +1,11 @@
 /// \file
-/// \brief Watching of endpoint VMs by two entry VMs each.
-/// \details Decides which endpoint VMs this entry VM probes, and for every endpoint VM what is
-/// known and how old it is. Observations travel between entry VMs as ages; freshness lapses by
-/// itself, so silence of an endpoint, of its watchers or of this process ends the use of a VM
-/// without any event. It never decides which group serves. Guards promise 1 (no group serves with
-/// a member missing) and promise 6 (no new work for leaving VMs).
+/// \brief Health monitoring of endpoint VMs, each by two entry VMs.
+/// \details Selects the endpoint VMs this entry VM probes, and keeps the latest observation of
+/// every endpoint VM with its age. Entry VMs exchange observations with ages instead of timestamps.
+/// An observation expires after the freshness window, so a VM falls out of use without any event
+/// when the endpoint, its watchers or this process stop responding. This ensures that no group
+/// serves with a member missing and that leaving VMs get no new work; which group serves is decided
+/// elsewhere.
 #pragma once
 
 #include <cardamombay/config/configuration.hpp>
@@ -29,19 +30,19 @@
 
 namespace cardamombay::watching {
 
-/// \brief Counters of watching.
+/// \brief Counters of EndpointWatcher.
 struct WatchCounters
 {
     std::uint64_t probesSent_ = 0;
     std::uint64_t probesFailed_ = 0;
-    std::uint64_t ownProbesForNeed_ = 0;
-    std::uint64_t restartsSeen_ = 0;
+    std::uint64_t probesOfNeededVms_ = 0;
+    std::uint64_t restartsObserved_ = 0;
     std::uint64_t summariesApplied_ = 0;
-    std::uint64_t summariesRefused_ = 0; ///< Revision did not match; the whole set follows.
-    std::uint64_t wholeSetsSent_ = 0;
+    std::uint64_t summariesRejected_ = 0; ///< Revision mismatch; the full set follows.
+    std::uint64_t fullSetsSent_ = 0;
 };
 
-/// \brief Watches endpoint VMs for one entry VM.
+/// \brief Monitors endpoint VMs on behalf of one entry VM.
 /// \code
 /// EndpointWatcher watcher(clock, orders, settings, self);
 /// watcher.setSites(configuration->sites_);
@@ -53,7 +54,7 @@
 class EndpointWatcher
 {
 public:
-    /// \brief Told when the state of a VM changed in more than load, or a veto began or ended.
+    /// \brief Called when the state of a VM other than its load changes, or a veto begins or ends.
     using ChangeHandler = std::function<void(const VmId &)>;
 
     EndpointWatcher(Clock &clock, endpoint::EndpointOrders &orders, WatchSettings settings,
@@ -62,128 +63,134 @@
     EndpointWatcher &operator=(const EndpointWatcher &) = delete;
     ~EndpointWatcher();
 
-    /// \brief Begins to probe.
+    /// \brief Starts probing.
     void start();
 
-    /// \name What to watch
+    /// \name Targets and watchers
     /// \{
-    /// \brief The endpoint VMs by the platform's list (entry VMs in it are passed over).
+    /// \brief Sets the endpoint VMs from the platform's VM list; a list older than the last one and
+    /// the entry VMs in the list are ignored.
     /// \param vms the list.
-    /// \param age of the list; the vetoes in it are that old.
+    /// \param age age of the list.
     void setVms(std::span<const platform::VmRecord> vms, Duration age = {});
-    /// \brief The availability zones and their regions; zones of other regions are not watched.
+    /// \brief Sets the regions of the availability zones; VMs of other regions are not watched.
     void setSites(std::span<const config::Site> sites);
-    /// \brief The live entry VMs, self included. A VM is watched by those of its site, or by those
-    /// of its region if the site has fewer than two.
+    /// \brief Sets the live entry VMs, including self. A VM is watched by entry VMs of its site, or
+    /// of its region if the site has fewer than WatchSettings::watchersPerVm_.
     void setWatchers(std::span<const membership::MemberEntry> alive);
     /// \brief The entry VMs that watch \p vm, highest rank first.
     [[nodiscard]] const std::vector<EntryId> &watchersOf(const VmId &vm) const;
-    /// \brief True if this entry VM is one of them.
-    [[nodiscard]] bool isWatched(const VmId &vm) const { return own_.contains(vm); }
+    /// \brief True if this entry VM watches \p vm.
+    [[nodiscard]] bool isWatched(const VmId &vm) const { return watched_.contains(vm); }
     /// \}
 
     /// \name Digests
     /// \{
-    /// \brief Takes a peer's observations and vetoes; ages are counted from now.
+    /// \brief Merges a peer's observations and vetoes; ages are relative to the current time.
     void merge(const membership::Digest &digest);
     /// \brief Adds observations and vetoes for the receiver of \p digest.
     void appendTo(membership::Digest &digest);
     /// \}
 
-    /// \name What is known
+    /// \name State
     /// \{
     /// \brief The latest observation, fresh or not; null if there is none.
     [[nodiscard]] const Observation *observation(const VmId &vm) const;
-    /// \brief Until when the observation may be used; the zero instant if there is none.
+    /// \brief Expiry of the observation; the zero instant if there is none, or if the VM has since
+    /// refused a connection or been replaced by another VM.
     [[nodiscard]] TimePoint freshUntil(const VmId &vm) const;
     [[nodiscard]] bool isFresh(const VmId &vm) const { return clock_.now() < freshUntil(vm); }
-    /// \brief True if the VM answers, but much slower than others.
+    /// \brief True if the VM answers much more slowly than the others.
     [[nodiscard]] bool isStraggler(const VmId &vm) const;
     [[nodiscard]] const WatchCounters &counters() const { return counters_; }
     void onChange(ChangeHandler handler) { onChange_ = std::move(handler); }
-    /// \brief Told when peers should hear at once; see Membership::flushSoon().
+    /// \brief Sets the handler for changes to be sent to peers at once; see
+    /// Membership::flushSoon().
     void onUrgent(std::function<void()> handler) { onUrgent_ = std::move(handler); }
     /// \}
 
-    /// \name Asking
+    /// \name Probes on demand
     /// \{
-    /// \brief Probes \p vm now, whoever watches it.
+    /// \brief Probes \p vm now, even if other entry VMs watch it.
     void probeNow(const VmId &vm);
-    /// \brief A router relies on \p vm: if its observation is about to lapse, this entry VM probes
-    /// by itself. To be repeated while the VM is relied on.
+    /// \brief Keeps \p vm fresh for a router: if its observation is about to expire, this entry VM
+    /// probes it. Applies for WatchSettings::needDuration_ after each call.
     void need(const VmId &vm);
-    /// \brief Watchers, outside \p scope, of VMs that are needed; see Membership::setExtraPeers().
+    /// \brief Watchers of needed VMs of which no watcher is in \p scope; see
+    /// Membership::setExtraPeers().
     [[nodiscard]] std::vector<EntryId> neededPeers(std::span<const EntryId> scope) const;
     /// \}
 
     /// \name Leaving
     /// \{
-    /// \brief Vetoes new work for \p vm and spreads it.
+    /// \brief Vetoes new work for \p vm and sends the veto to peers.
     void markLeaving(const VmId &vm);
-    /// \brief Ends the veto, as an operator's undrain does.
+    /// \brief Lifts the veto, for example when an operator undrains the VM.
     void clearLeaving(const VmId &vm);
     [[nodiscard]] bool isLeaving(const VmId &vm) const;
     [[nodiscard]] std::vector<VmId> leaving() const { return vetoes_.leaving(); }
     /// \}
 
 private:
-    struct Endpoint ///< One VM of the list.
+    struct Endpoint ///< An endpoint VM of the VM list.
     {
         platform::VmRecord record_;
         bool isListedLeaving_ = false;
     };
-    struct OwnWatch ///< One VM probed regularly by this entry VM.
+    struct WatchedVm ///< An endpoint VM probed periodically by this entry VM.
     {
         TimePoint nextProbeAt_{};
-        Observation last_;                ///< Last answer to an own probe.
-        Observation told_;                ///< What peers know at revision_.
-        std::uint64_t revision_ = 0;      ///< Zero while the VM is not told.
+        Observation last_;                ///< Last answer to a probe of this entry VM.
+        Observation announced_;           ///< Observation reported to peers at revision_.
+        std::uint64_t revision_ = 0;      ///< Zero while the VM is not reported to peers.
         std::uint64_t stateRevision_ = 0; ///< Last revision that changed more than the load.
     };
     struct Removal
     {
         std::uint64_t revision_ = 0;
         VmId vm_;
-        TimePoint goneAt_{}; ///< Zero if the VM was merely silent.
+        TimePoint goneAt_{}; ///< When the VM was found gone, see GoneEntry; zero if not.
     };
     struct Latency
     {
         Duration average_{};
         TimePoint sentAt_{};     ///< Of the last probe.
-        bool isPending_ = false; ///< It is under way.
+        bool isPending_ = false; ///< The last probe is unanswered.
     };
-    struct PeerSet ///< The set of VMs a peer reports.
+    struct PeerSet ///< The set of VMs reported by a peer.
     {
         std::uint64_t revision_ = 0;
         std::map<VmId, Observation> rows_;
-        std::uint64_t acknowledged_ = 0; ///< Revision of the own set that the peer has.
+        std::uint64_t acknowledged_ = 0; ///< Revision of the own set acknowledged by the peer.
     };
 
-    [[nodiscard]] Duration periodOf(const OwnWatch &watch) const;
+    [[nodiscard]] Duration periodOf(const WatchedVm &watch) const;
     void scheduleTick();
     void tick();
     void probeNeeded();
     void applyRows(PeerSet &set, const membership::Digest &digest);
-    void urgent();
-    void rebuildOwn();
+    void notifyUrgent();
+    void rebuildWatched();
     [[nodiscard]] const std::vector<EntryId> &candidatesFor(const AvailabilityZone &zone) const;
     void probe(const VmId &vm);
-    void answered(const VmId &vm, TimePoint sentAt, const endpoint::EndpointState &state);
-    void failed(const VmId &vm, TimePoint sentAt, const Result<endpoint::EndpointState> &result);
-    void noteOwn(OwnWatch &watch, const Observation &observation);
-    void removeRow(const VmId &vm, OwnWatch &watch, TimePoint goneAt = {});
-    void appendRow(membership::Digest &digest, const VmId &vm, const OwnWatch &watch) const;
-    void appendRemovals(membership::Digest &digest, bool isKnown) const;
-    void noteGone(const VmId &vm, TimePoint when);
-    void removeLateRows();
-    void consider(const VmId &vm, const Observation &candidate);
+    void onProbeAnswered(const VmId &vm, TimePoint sentAt, const endpoint::EndpointState &state);
+    void onProbeFailed(const VmId &vm, TimePoint sentAt,
+                       const Result<endpoint::EndpointState> &result);
+    void recordOwnObservation(WatchedVm &watch, const Observation &observation);
+    void removeRow(const VmId &vm, WatchedVm &watch, TimePoint goneAt = {});
+    void appendRow(membership::Digest &digest, const VmId &vm, const WatchedVm &watch) const;
+    void appendRemovals(membership::Digest &digest, bool isIncremental) const;
+    void recordGone(const VmId &vm, TimePoint when);
+    void removeStaleRows();
+    void applyObservation(const VmId &vm, const Observation &candidate);
     void liftIfReplaced(const VmId &vm);
-    void noteLatency(const VmId &vm, Duration latency);
+    void recordLatency(const VmId &vm, Duration latency);
     void updateMedian();
     [[nodiscard]] bool isSlow(const VmId &vm) const;
     [[nodiscard]] bool isInOwnRegion(const AvailabilityZone &zone) const;
-    [[nodiscard]] bool isWorthTelling(const Observation &now, const Observation &told) const;
-    void changed(const VmId &vm);
+    [[nodiscard]] bool needsAnnouncement(const Observation &now,
+                                         const Observation &announced) const;
+    void notifyChanged(const VmId &vm);
 
     Clock &clock_;
     endpoint::EndpointOrders &orders_;
@@ -191,31 +198,32 @@
     EntryId self_;
     std::map<VmId, Endpoint> endpoints_;
     std::map<AvailabilityZone, RegionName> regions_;
-    std::vector<EntryId> everyone_; ///< Live entry VMs.
-    std::map<AvailabilityZone, std::vector<EntryId>> bySite_;
-    std::map<RegionName, std::vector<EntryId>> byRegion_;
+    std::vector<EntryId> liveEntries_;
+    std::map<AvailabilityZone, std::vector<EntryId>> entriesBySite_;
+    std::map<RegionName, std::vector<EntryId>> entriesByRegion_;
     std::optional<RegionName> ownRegion_;
-    mutable std::unordered_map<VmId, std::vector<EntryId>> choices_; ///< Of watchersOf().
-    std::map<VmId, OwnWatch> own_;
+    mutable std::unordered_map<VmId, std::vector<EntryId>> watcherCache_; ///< For watchersOf().
+    std::map<VmId, WatchedVm> watched_;
     std::deque<Removal> removals_;
     std::uint64_t revision_ = 0;
-    std::uint64_t removalFloor_ = 0; ///< Changes up to here cannot be told one by one.
+    std::uint64_t removalFloor_ = 0; ///< Peers at earlier revisions need the full set.
     std::map<EntryId, PeerSet> peerSets_;
-    std::unordered_map<VmId, Observation> best_;
-    std::unordered_map<VmId, TimePoint> gone_; ///< When a VM last refused a connection.
+    std::unordered_map<VmId, Observation> latest_;
+    std::unordered_map<VmId, TimePoint> gone_; ///< When a VM last refused a connection or was
+                                               ///< found replaced by another VM.
     std::unordered_map<VmId, Latency> latencies_;
     std::map<VmId, TimePoint> needed_;
     Duration medianLatency_{};
     TimePoint listTakenAt_{};
     TimePoint nextMedianAt_{};
     TimePoint nextTickAt_{};
-    TimePoint wokeAt_{};
+    TimePoint resumedAt_{};
     VetoTable vetoes_;
     ChangeHandler onChange_;
     std::function<void()> onUrgent_;
     WatchCounters counters_;
     TimerId timer_ = TimerId::None;
-    std::shared_ptr<bool> alive_; ///< Guards answers that arrive after destruction.
+    std::shared_ptr<bool> alive_; ///< Expires on destruction, so that late answers are ignored.
 };
 
 } // namespace cardamombay::watching
--- a/include/cardamombay/watching/observation.hpp
+++ b/include/cardamombay/watching/observation.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief What is known of one endpoint VM.
-/// \details Values only. Instants are of the local clock; between processes they travel as ages.
+/// \brief Observed state of an endpoint VM.
+/// \details Timestamps use the local clock and are transmitted to other processes as ages.
 #pragma once
 
 #include <cardamombay/core/ids.hpp>
@@ -9,21 +9,21 @@
 
 namespace cardamombay::watching {
 
-/// \brief Latest state of an endpoint VM and the instant after which it certainly held.
+/// \brief State of an endpoint VM and a lower bound on the time at which it was valid.
 struct Observation
 {
     endpoint::EndpointState state_;
-    TimePoint observedAt_{}; ///< On this entry VM's clock; never later than the truth.
+    TimePoint observedAt_{}; ///< On the local clock; never later than the actual time.
     bool isStraggler_ = false;
-    EntryId by_; ///< The entry VM that probed.
+    EntryId by_; ///< The entry VM that probed the VM.
 };
 
 /// \brief True if \p candidate replaces \p known.
-/// \details A later incarnation wins whatever its age: the former life is over. Within one
-/// incarnation the later instant wins, so duplicates and late arrivals change nothing. An earlier
-/// incarnation loses, unless what is known is older than \p replacedTime; then the VM was replaced
-/// by one that counts anew.
+/// \details A higher incarnation always wins, because the VM has restarted since the lower one.
+/// Within an incarnation the later observation wins, so duplicate and late arrivals have no effect.
+/// A lower incarnation loses unless it was observed more than \p replacementAge after \p known; the
+/// VM was then replaced by one whose incarnations start over.
 [[nodiscard]] bool supersedes(const Observation &candidate, const Observation &known,
-                              Duration replacedTime);
+                              Duration replacementAge);
 
 } // namespace cardamombay::watching
--- a/include/cardamombay/watching/watch_settings.hpp
+++ b/include/cardamombay/watching/watch_settings.hpp
@@ -1,7 +1,6 @@
 /// \file
-/// \brief Times and bounds of watching endpoint VMs.
-/// \details Values only; the freshness among them bounds how long a group serves after a member
-/// fell silent.
+/// \brief Timing parameters and limits of endpoint watching.
+/// \details The freshness window bounds how long a group serves after a member stopped answering.
 #pragma once
 
 #include <cardamombay/core/time.hpp>
@@ -17,21 +16,25 @@
     Duration probePeriod_ = std::chrono::seconds(1);
     Duration loadingProbePeriod_ = std::chrono::milliseconds(250); ///< While a VM loads.
     Duration probeTimeout_ = std::chrono::milliseconds(900);
-    Duration freshnessWindow_ = std::chrono::seconds(3);  ///< An older observation is not used.
-    Duration lateTime_ = std::chrono::milliseconds(1500); ///< A VM silent for longer is not told.
-    Duration retryGap_ = std::chrono::milliseconds(250);  ///< After a probe failed.
-    Duration neededTime_ = std::chrono::seconds(5);       ///< need() counts for this long.
+    Duration freshnessWindow_ = std::chrono::seconds(3); ///< Older observations are not used.
+    Duration maxReportedAge_
+        = std::chrono::milliseconds(1500);               ///< Older ones are not sent to peers.
+    Duration retryGap_ = std::chrono::milliseconds(250); ///< After a failed probe.
+    Duration needDuration_ = std::chrono::seconds(5);    ///< How long a call of need() applies.
     Duration neededLead_
-        = std::chrono::milliseconds(400); ///< Own probe this long before the lapse.
+        = std::chrono::milliseconds(400); ///< Time before expiry to probe a needed VM.
     Duration neededProbeGap_
-        = std::chrono::milliseconds(500); ///< Between own probes of a needed VM.
-    Duration stragglerLatency_ = std::chrono::milliseconds(250); ///< Slower answers are suspect.
-    double stragglerFactor_ = 6.0; ///< And slower than this many times the median.
-    double latencyGain_ = 0.3;     ///< Weight of a new latency in the moving average.
-    double loadChange_ = 0.25;     ///< Share by which load must change to be told at once.
-    Duration replacedTime_ = std::chrono::seconds(30);  ///< Then a lower incarnation is believed.
-    Duration vetoRetention_ = std::chrono::minutes(10); ///< Of vetoes for VMs not in the list.
-    Duration vetoRepeat_ = std::chrono::seconds(20);    ///< Vetoes are told again to each peer.
+        = std::chrono::milliseconds(500); ///< Minimum between probes of a needed VM.
+    Duration stragglerLatency_
+        = std::chrono::milliseconds(250); ///< Minimum latency of a straggler.
+    double stragglerFactor_ = 6.0;        ///< Minimum ratio of its latency to the median.
+    double latencyGain_ = 0.3;            ///< Weight of a new latency in the moving average.
+    double loadChange_ = 0.25;            ///< Relative load change that is reported to peers.
+    Duration replacementAge_
+        = std::chrono::seconds(30); ///< After this a lower incarnation is accepted.
+    Duration vetoRetention_ = std::chrono::minutes(10); ///< For vetoes of VMs not in the VM list.
+    Duration vetoRepeatPeriod_
+        = std::chrono::seconds(20); ///< Between repeats of a veto to each peer.
     std::uint32_t watchersPerVm_ = 2;
 };
 
--- a/src/watching/endpoint_watcher.cpp
+++ b/src/watching/endpoint_watcher.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-constexpr std::size_t keptRemovals = 256;
+constexpr std::size_t maxKeptRemovals = 256;
 
-/// Longer without a turn than this and measured latencies are this process's own fault.
+/// A tick delayed by more than this means that the process was paused, which invalidates latencies.
 constexpr Duration pauseThreshold = std::chrono::seconds(1);
 
-bool isSameButLoad(const endpoint::EndpointState &left, const endpoint::EndpointState &right)
+bool isEqualExceptLoad(const endpoint::EndpointState &left, const endpoint::EndpointState &right)
 {
     return left.incarnation_ == right.incarnation_ && left.phase_ == right.phase_
            && left.assignment_ == right.assignment_ && left.model_ == right.model_
            && left.highestFencing_ == right.highestFencing_;
 }
 
-/// Only the VM that takes a group's requests, or a plain endpoint, has a load worth telling.
-bool hasLoad(const endpoint::EndpointState &state)
+/// Load matters only for the VM that receives a group's requests and for VMs without a group.
+bool isLoadRelevant(const endpoint::EndpointState &state)
 {
     return !state.assignment_ || state.assignment_->rank_ == 0;
 }
@@ -39,8 +39,8 @@
     , self_(std::move(self))
     , alive_(std::make_shared<bool>(true))
 {
-    // Revisions of two runs of one entry VM must not meet, or a peer would take the sets of both
-    // for one: each run begins at a number drawn from its name and its start.
+    // Revisions of two runs of an entry VM must not collide, or a peer would mistake one run's set
+    // for the other's. Each run starts at a hash of its identifier and start time.
     const auto start = static_cast<std::uint64_t>(clock.now().time_since_epoch().count());
     revision_ = (stableHash(self_.text(), start) >> 32U) + 1;
     removalFloor_ = revision_;
@@ -66,9 +66,9 @@
 {
     const TimePoint now = clock_.now();
     if (now - nextTickAt_ > pauseThreshold)
-        wokeAt_ = now;
+        resumedAt_ = now;
     scheduleTick();
-    for (auto &[vm, watch] : own_) {
+    for (auto &[vm, watch] : watched_) {
         if (now < watch.nextProbeAt_)
             continue;
         const Duration period = periodOf(watch);
@@ -77,7 +77,7 @@
             watch.nextProbeAt_ = now + period;
         probe(vm);
     }
-    removeLateRows();
+    removeStaleRows();
     probeNeeded();
     if (now >= nextMedianAt_) {
         nextMedianAt_ = now + settings_.probePeriod_;
@@ -85,8 +85,8 @@
     }
 }
 
-/// A group serves as soon as its last member is seen ready, so the end of a load is looked for.
-Duration EndpointWatcher::periodOf(const OwnWatch &watch) const
+/// A loading VM is probed more often, because its group serves once its last member is ready.
+Duration EndpointWatcher::periodOf(const WatchedVm &watch) const
 {
     const bool isLoading = watch.last_.state_.phase_ == endpoint::EnginePhase::Loading;
     return isLoading ? settings_.loadingProbePeriod_ : settings_.probePeriod_;
@@ -115,44 +115,44 @@
                       if (guard.expired())
                           return;
                       if (isOk(result) && valueOf(result).vm_ == vm)
-                          answered(vm, now, valueOf(result));
+                          onProbeAnswered(vm, now, valueOf(result));
                       else
-                          failed(vm, now, result);
+                          onProbeFailed(vm, now, result);
                   });
 }
 
-void EndpointWatcher::answered(const VmId &vm, TimePoint sentAt,
-                               const endpoint::EndpointState &state)
+void EndpointWatcher::onProbeAnswered(const VmId &vm, TimePoint sentAt,
+                                      const endpoint::EndpointState &state)
 {
     const TimePoint now = clock_.now();
     const auto latency = latencies_.find(vm);
     if (latency != latencies_.end() && latency->second.sentAt_ == sentAt)
         latency->second.isPending_ = false;
-    const bool wasPaused = sentAt < wokeAt_ || now - nextTickAt_ > pauseThreshold;
+    const bool wasPaused = sentAt < resumedAt_ || now - nextTickAt_ > pauseThreshold;
     if (!wasPaused)
-        noteLatency(vm, now - sentAt);
-    // The state held at some time after the probe left; the answer itself may have waited.
+        recordLatency(vm, now - sentAt);
+    // The state was valid at some time after the probe was sent; the answer may have been delayed.
     const Observation observation{state, sentAt, isSlow(vm), self_};
-    const auto own = own_.find(vm);
-    if (own != own_.end())
-        noteOwn(own->second, observation);
-    consider(vm, observation);
+    const auto own = watched_.find(vm);
+    if (own != watched_.end())
+        recordOwnObservation(own->second, observation);
+    applyObservation(vm, observation);
 }
 
-void EndpointWatcher::failed(const VmId &vm, TimePoint sentAt,
-                             const Result<endpoint::EndpointState> &result)
+void EndpointWatcher::onProbeFailed(const VmId &vm, TimePoint sentAt,
+                                    const Result<endpoint::EndpointState> &result)
 {
     ++counters_.probesFailed_;
     const auto latency = latencies_.find(vm);
     if (latency != latencies_.end() && latency->second.sentAt_ == sentAt)
         latency->second.isPending_ = false;
-    // A VM that is slow to answer may still be serving; one that refuses the connection, or that
-    // is another VM by now, is not.
+    // A VM that is slow to answer may still be serving. One that refuses the connection, or whose
+    // address now belongs to another VM, is not.
     const bool isGone = isOk(result) || isError<EndpointUnreachable>(result);
     if (isGone)
-        noteGone(vm, sentAt);
-    const auto own = own_.find(vm);
-    if (own == own_.end())
+        recordGone(vm, sentAt);
+    const auto own = watched_.find(vm);
+    if (own == watched_.end())
         return;
     own->second.nextProbeAt_
         = std::min(own->second.nextProbeAt_, clock_.now() + settings_.retryGap_);
@@ -160,44 +160,46 @@
         removeRow(vm, own->second, sentAt);
 }
 
-void EndpointWatcher::noteOwn(OwnWatch &watch, const Observation &observation)
+void EndpointWatcher::recordOwnObservation(WatchedVm &watch, const Observation &observation)
 {
     const bool isFirst = watch.last_.by_.isEmpty();
-    if (!isFirst && !supersedes(observation, watch.last_, settings_.replacedTime_))
+    if (!isFirst && !supersedes(observation, watch.last_, settings_.replacementAge_))
         return;
     watch.last_ = observation;
-    if (clock_.now() - observation.observedAt_ > settings_.lateTime_)
+    if (clock_.now() - observation.observedAt_ > settings_.maxReportedAge_)
         return;
-    const bool isTold = watch.revision_ != 0;
-    if (isTold && !isWorthTelling(observation, watch.told_))
+    const bool isAnnounced = watch.revision_ != 0;
+    if (isAnnounced && !needsAnnouncement(observation, watch.announced_))
         return;
-    const bool isOnlyLoad = isTold && isSameButLoad(observation.state_, watch.told_.state_)
-                            && observation.isStraggler_ == watch.told_.isStraggler_;
-    watch.told_ = observation;
+    const bool isOnlyLoad = isAnnounced
+                            && isEqualExceptLoad(observation.state_, watch.announced_.state_)
+                            && observation.isStraggler_ == watch.announced_.isStraggler_;
+    watch.announced_ = observation;
     watch.revision_ = ++revision_;
     if (isOnlyLoad)
         return;
     watch.stateRevision_ = watch.revision_;
-    urgent();
+    notifyUrgent();
 }
 
-bool EndpointWatcher::isWorthTelling(const Observation &now, const Observation &told) const
+bool EndpointWatcher::needsAnnouncement(const Observation &now, const Observation &announced) const
 {
-    if (!isSameButLoad(now.state_, told.state_) || now.isStraggler_ != told.isStraggler_)
+    if (!isEqualExceptLoad(now.state_, announced.state_)
+        || now.isStraggler_ != announced.isStraggler_)
         return true;
-    if (!hasLoad(now.state_))
+    if (!isLoadRelevant(now.state_))
         return false;
-    constexpr double kvStep = 0.1;
+    constexpr double kvCacheStep = 0.1;
     const endpoint::LoadReport &fresh = now.state_.load_;
-    const endpoint::LoadReport &old = told.state_.load_;
+    const endpoint::LoadReport &old = announced.state_.load_;
     const double before = old.running_ + old.queued_;
     const double after = fresh.running_ + fresh.queued_;
     const double step = std::max(1.0, before * settings_.loadChange_);
     return std::abs(after - before) > step
-           || std::abs(fresh.kvCacheUsed_ - old.kvCacheUsed_) > kvStep;
+           || std::abs(fresh.kvCacheUsed_ - old.kvCacheUsed_) > kvCacheStep;
 }
 
-void EndpointWatcher::noteGone(const VmId &vm, TimePoint when)
+void EndpointWatcher::recordGone(const VmId &vm, TimePoint when)
 {
     TimePoint &known = gone_[vm];
     if (when <= known)
@@ -205,44 +207,44 @@
     const bool wasFresh = isFresh(vm);
     known = when;
     if (wasFresh && !isFresh(vm))
-        changed(vm);
+        notifyChanged(vm);
 }
 
-void EndpointWatcher::removeRow(const VmId &vm, OwnWatch &watch, TimePoint goneAt)
+void EndpointWatcher::removeRow(const VmId &vm, WatchedVm &watch, TimePoint goneAt)
 {
     if (watch.revision_ == 0)
         return;
     watch.revision_ = 0;
     removals_.push_back(Removal{++revision_, vm, goneAt});
-    if (removals_.size() > keptRemovals) {
+    if (removals_.size() > maxKeptRemovals) {
         removalFloor_ = removals_.front().revision_;
         removals_.pop_front();
     }
-    urgent();
+    notifyUrgent();
 }
 
-void EndpointWatcher::removeLateRows()
+void EndpointWatcher::removeStaleRows()
 {
-    const TimePoint limit = clock_.now() - settings_.lateTime_;
-    for (auto &[vm, watch] : own_) {
+    const TimePoint limit = clock_.now() - settings_.maxReportedAge_;
+    for (auto &[vm, watch] : watched_) {
         if (watch.revision_ != 0 && watch.last_.observedAt_ < limit)
             removeRow(vm, watch);
     }
 }
 
-void EndpointWatcher::consider(const VmId &vm, const Observation &candidate)
+void EndpointWatcher::applyObservation(const VmId &vm, const Observation &candidate)
 {
-    const auto [place, isNew] = best_.try_emplace(vm, candidate);
+    const auto [place, isNew] = latest_.try_emplace(vm, candidate);
     Observation &known = place->second;
     if (isNew) {
-        vetoes_.noteIncarnation(vm, candidate.state_.incarnation_);
-        changed(vm);
+        vetoes_.recordIncarnation(vm, candidate.state_.incarnation_);
+        notifyChanged(vm);
         return;
     }
-    if (!supersedes(candidate, known, settings_.replacedTime_))
+    if (!supersedes(candidate, known, settings_.replacementAge_))
         return;
     const bool isRestart = candidate.state_.incarnation_ != known.state_.incarnation_;
-    const bool isChanged = !isSameButLoad(candidate.state_, known.state_)
+    const bool isChanged = !isEqualExceptLoad(candidate.state_, known.state_)
                            || candidate.isStraggler_ != known.isStraggler_;
     const bool isUnchanged = candidate.state_ == known.state_;
     if (!isUnchanged)
@@ -251,24 +253,24 @@
     known.isStraggler_ = candidate.isStraggler_;
     known.by_ = candidate.by_;
     if (isRestart) {
-        ++counters_.restartsSeen_;
+        ++counters_.restartsObserved_;
         liftIfReplaced(vm);
     }
     if (isChanged)
-        changed(vm);
+        notifyChanged(vm);
 }
 
 const Observation *EndpointWatcher::observation(const VmId &vm) const
 {
-    const auto found = best_.find(vm);
-    return found == best_.end() ? nullptr : &found->second;
+    const auto found = latest_.find(vm);
+    return found == latest_.end() ? nullptr : &found->second;
 }
 
 TimePoint EndpointWatcher::freshUntil(const VmId &vm) const
 {
     const Observation *known = observation(vm);
     const auto gone = gone_.find(vm);
-    // Whichever watcher saw the VM last is right about it.
+    // The most recent evidence from any watcher decides.
     const bool isGone
         = known != nullptr && gone != gone_.end() && gone->second >= known->observedAt_;
     if (known == nullptr || isGone)
@@ -284,7 +286,7 @@
 
 void EndpointWatcher::need(const VmId &vm)
 {
-    needed_[vm] = clock_.now() + settings_.neededTime_;
+    needed_[vm] = clock_.now() + settings_.needDuration_;
 }
 
 void EndpointWatcher::probeNeeded()
@@ -296,9 +298,9 @@
         const auto latency = latencies_.find(vm);
         const bool isDue = latency == latencies_.end()
                            || now - latency->second.sentAt_ >= settings_.neededProbeGap_;
-        if (!isLapsing || !isDue || own_.contains(vm))
+        if (!isLapsing || !isDue || watched_.contains(vm))
             continue;
-        ++counters_.ownProbesForNeed_;
+        ++counters_.probesOfNeededVms_;
         probe(vm);
     }
 }
@@ -309,16 +311,16 @@
     const Incarnation incarnation = known == nullptr ? Incarnation() : known->state_.incarnation_;
     if (!vetoes_.mark(vm, incarnation, clock_.now()))
         return;
-    changed(vm);
-    urgent();
+    notifyChanged(vm);
+    notifyUrgent();
 }
 
 void EndpointWatcher::clearLeaving(const VmId &vm)
 {
     if (!vetoes_.lift(vm, clock_.now()))
         return;
-    changed(vm);
-    urgent();
+    notifyChanged(vm);
+    notifyUrgent();
 }
 
 bool EndpointWatcher::isLeaving(const VmId &vm) const
@@ -336,13 +338,13 @@
         clearLeaving(vm);
 }
 
-void EndpointWatcher::changed(const VmId &vm)
+void EndpointWatcher::notifyChanged(const VmId &vm)
 {
     if (onChange_)
         onChange_(vm);
 }
 
-void EndpointWatcher::urgent()
+void EndpointWatcher::notifyUrgent()
 {
     if (onUrgent_)
         onUrgent_();
--- a/src/watching/endpoint_watcher_assignment.cpp
+++ b/src/watching/endpoint_watcher_assignment.cpp
@@ -1,4 +1,4 @@
-// Which entry VMs watch which endpoint VMs.
+// Assignment of endpoint VMs to the entry VMs that watch them.
 #include <cardamombay/watching/endpoint_watcher.hpp>
 
 #include <cardamombay/core/hash.hpp>
@@ -17,8 +17,8 @@
     listTakenAt_ = takenAt;
     std::map<VmId, Endpoint> listed;
     std::set<VmId> names;
-    std::vector<VmId> newlyLeaving;
-    std::vector<VmId> newlyLive;
+    std::vector<VmId> newlyListedLeaving;
+    std::vector<VmId> newlyListedLive;
     for (const platform::VmRecord &record : vms) {
         if (record.role_ == platform::VmRole::Entry)
             continue;
@@ -27,22 +27,22 @@
         const auto known = endpoints_.find(record.id_);
         const bool wasLeaving = known != endpoints_.end() && known->second.isListedLeaving_;
         if (isLeavingNow && !wasLeaving)
-            newlyLeaving.push_back(record.id_);
+            newlyListedLeaving.push_back(record.id_);
         if (!isLeavingNow && wasLeaving)
-            newlyLive.push_back(record.id_);
+            newlyListedLive.push_back(record.id_);
         listed.emplace(record.id_, Endpoint{record, isLeavingNow});
     }
     endpoints_ = std::move(listed);
-    choices_.clear();
+    watcherCache_.clear();
     const auto isAbsent = [&](const auto &item) { return !names.contains(item.first); };
-    std::erase_if(best_, isAbsent);
+    std::erase_if(latest_, isAbsent);
     std::erase_if(latencies_, isAbsent);
     std::erase_if(gone_, isAbsent);
-    rebuildOwn();
-    for (const VmId &vm : newlyLeaving)
+    rebuildWatched();
+    for (const VmId &vm : newlyListedLeaving)
         markLeaving(vm);
-    for (const VmId &vm : newlyLive) {
-        if (vetoes_.isOfUnknownIncarnation(vm))
+    for (const VmId &vm : newlyListedLive) {
+        if (vetoes_.beganWithUnknownIncarnation(vm))
             clearLeaving(vm);
     }
     for (const VmId &vm : vetoes_.leaving())
@@ -55,28 +55,28 @@
     regions_.clear();
     for (const config::Site &site : sites)
         regions_[site.zone_] = site.region_;
-    choices_.clear();
-    rebuildOwn();
+    watcherCache_.clear();
+    rebuildWatched();
 }
 
 void EndpointWatcher::setWatchers(std::span<const membership::MemberEntry> alive)
 {
-    everyone_.clear();
-    bySite_.clear();
-    byRegion_.clear();
-    choices_.clear();
+    liveEntries_.clear();
+    entriesBySite_.clear();
+    entriesByRegion_.clear();
+    watcherCache_.clear();
     ownRegion_.reset();
     std::set<EntryId> present;
     for (const membership::MemberEntry &entry : alive) {
         present.insert(entry.id_);
-        everyone_.push_back(entry.id_);
-        bySite_[entry.zone_].push_back(entry.id_);
-        byRegion_[entry.region_].push_back(entry.id_);
+        liveEntries_.push_back(entry.id_);
+        entriesBySite_[entry.zone_].push_back(entry.id_);
+        entriesByRegion_[entry.region_].push_back(entry.id_);
         if (entry.id_ == self_)
             ownRegion_ = entry.region_;
     }
     std::erase_if(peerSets_, [&](const auto &item) { return !present.contains(item.first); });
-    rebuildOwn();
+    rebuildWatched();
 }
 
 bool EndpointWatcher::isInOwnRegion(const AvailabilityZone &zone) const
@@ -88,20 +88,20 @@
 const std::vector<EntryId> &EndpointWatcher::candidatesFor(const AvailabilityZone &zone) const
 {
     static const std::vector<EntryId> none;
-    const auto site = bySite_.find(zone);
-    if (site != bySite_.end() && site->second.size() >= settings_.watchersPerVm_)
+    const auto site = entriesBySite_.find(zone);
+    if (site != entriesBySite_.end() && site->second.size() >= settings_.watchersPerVm_)
         return site->second;
     const auto region = regions_.find(zone);
     if (region == regions_.end())
-        return everyone_;
-    const auto members = byRegion_.find(region->second);
-    return members == byRegion_.end() ? none : members->second;
+        return liveEntries_;
+    const auto members = entriesByRegion_.find(region->second);
+    return members == entriesByRegion_.end() ? none : members->second;
 }
 
 const std::vector<EntryId> &EndpointWatcher::watchersOf(const VmId &vm) const
 {
-    const auto known = choices_.find(vm);
-    if (known != choices_.end())
+    const auto known = watcherCache_.find(vm);
+    if (known != watcherCache_.end())
         return known->second;
     static const std::vector<EntryId> none;
     const auto found = endpoints_.find(vm);
@@ -118,23 +118,23 @@
                                                            : *left.second < *right.second;
                       });
     ranking.resize(count);
-    std::vector<EntryId> &chosen = choices_[vm];
+    std::vector<EntryId> &chosen = watcherCache_[vm];
     for (const auto &[weight, id] : ranking)
         chosen.push_back(*id);
     return chosen;
 }
 
-void EndpointWatcher::rebuildOwn()
+void EndpointWatcher::rebuildWatched()
 {
     const TimePoint now = clock_.now();
-    std::map<VmId, OwnWatch> kept;
+    std::map<VmId, WatchedVm> kept;
     for (const auto &[vm, endpoint] : endpoints_) {
         if (!isInOwnRegion(endpoint.record_.zone_))
             continue;
         const std::vector<EntryId> &chosen = watchersOf(vm);
         if (std::find(chosen.begin(), chosen.end(), self_) == chosen.end())
             continue;
-        auto known = own_.extract(vm);
+        auto known = watched_.extract(vm);
         if (!known.empty()) {
             kept.insert(std::move(known));
             continue;
@@ -143,16 +143,16 @@
         const Duration phase(stableHash(vm.text(), stableHash(self_.text())) % period);
         kept[vm].nextProbeAt_ = now + phase;
     }
-    for (auto &[vm, watch] : own_)
+    for (auto &[vm, watch] : watched_)
         removeRow(vm, watch);
-    own_ = std::move(kept);
+    watched_ = std::move(kept);
 }
 
 std::vector<EntryId> EndpointWatcher::neededPeers(std::span<const EntryId> scope) const
 {
     std::set<EntryId> peers;
     for (const auto &[vm, until] : needed_) {
-        if (own_.contains(vm))
+        if (watched_.contains(vm))
             continue;
         const std::vector<EntryId> &watchers = watchersOf(vm);
         const bool isCovered = std::any_of(watchers.begin(), watchers.end(), [&](const auto &id) {
--- a/src/watching/endpoint_watcher_latency.cpp
+++ b/src/watching/endpoint_watcher_latency.cpp
@@ -1,4 +1,4 @@
-// Stragglers, told by the latency of probes.
+// Straggler detection by probe latency.
 #include <cardamombay/watching/endpoint_watcher.hpp>
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace cardamombay::watching {
 
-void EndpointWatcher::noteLatency(const VmId &vm, Duration latency)
+void EndpointWatcher::recordLatency(const VmId &vm, Duration latency)
 {
     Latency &known = latencies_[vm];
     if (known.average_ == Duration::zero()) {
--- a/src/watching/observation.cpp
+++ b/src/watching/observation.cpp
@@ -2,7 +2,7 @@
 
 namespace cardamombay::watching {
 
-bool supersedes(const Observation &candidate, const Observation &known, Duration replacedTime)
+bool supersedes(const Observation &candidate, const Observation &known, Duration replacementAge)
 {
     const Incarnation incoming = candidate.state_.incarnation_;
     const Incarnation present = known.state_.incarnation_;
@@ -10,7 +10,7 @@
         return true;
     if (incoming == present)
         return candidate.observedAt_ > known.observedAt_;
-    return candidate.observedAt_ > known.observedAt_ + replacedTime;
+    return candidate.observedAt_ > known.observedAt_ + replacementAge;
 }
 
 } // namespace cardamombay::watching
--- a/src/watching/veto_table.cpp
+++ b/src/watching/veto_table.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A digest can get lost; telling a veto a few times costs less than hearing of it late.
-constexpr std::uint32_t firstTellings = 3;
+/// A veto is sent in several digests at first, since one may be lost and a delay is costly.
+constexpr std::uint32_t initialAnnouncements = 3;
 
 bool isOdd(std::uint64_t count)
 {
@@ -23,9 +23,9 @@
         return false;
     ++veto.count_;
     veto.incarnation_ = incarnation;
-    veto.isLate_ = false;
+    veto.isIncarnationFromLater_ = false;
     veto.since_ = when;
-    veto.told_.clear();
+    veto.announcements_.clear();
     return true;
 }
 
@@ -36,7 +36,7 @@
         return false;
     ++found->second.count_;
     found->second.since_ = now;
-    found->second.told_.clear();
+    found->second.announcements_.clear();
     return true;
 }
 
@@ -50,9 +50,9 @@
         isChanged |= isOdd(entry.count_) != isOdd(veto.count_);
         veto.count_ = entry.count_;
         veto.incarnation_ = entry.incarnation_;
-        veto.isLate_ = false;
+        veto.isIncarnationFromLater_ = false;
         veto.since_ = now - entry.age_;
-        veto.told_.clear();
+        veto.announcements_.clear();
     }
     return isChanged;
 }
@@ -63,20 +63,20 @@
     return found != vetoes_.end() && isOdd(found->second.count_);
 }
 
-void VetoTable::noteIncarnation(const VmId &vm, Incarnation incarnation)
+void VetoTable::recordIncarnation(const VmId &vm, Incarnation incarnation)
 {
     const auto found = vetoes_.find(vm);
     if (found == vetoes_.end() || !found->second.incarnation_.isNone())
         return;
     found->second.incarnation_ = incarnation;
-    found->second.isLate_ = true;
+    found->second.isIncarnationFromLater_ = true;
 }
 
-bool VetoTable::isOfUnknownIncarnation(const VmId &vm) const
+bool VetoTable::beganWithUnknownIncarnation(const VmId &vm) const
 {
     const auto found = vetoes_.find(vm);
     return found != vetoes_.end() && isOdd(found->second.count_)
-           && (found->second.isLate_ || found->second.incarnation_.isNone());
+           && (found->second.isIncarnationFromLater_ || found->second.incarnation_.isNone());
 }
 
 bool VetoTable::isReplaced(const VmId &vm, Incarnation incarnation, TimePoint listTakenAt) const
@@ -107,12 +107,13 @@
 void VetoTable::appendTo(membership::Digest &digest, TimePoint now, Duration repeat)
 {
     for (auto &[vm, veto] : vetoes_) {
-        Told &told = veto.told_[digest.to_];
-        if (told.times_ >= firstTellings && now - told.at_ < repeat)
+        Announcement &announcement = veto.announcements_[digest.to_];
+        if (announcement.sentCount_ >= initialAnnouncements
+            && now - announcement.lastSentAt_ < repeat)
             continue;
-        ++told.times_;
-        told.at_ = now;
-        const Incarnation known = veto.isLate_ ? Incarnation() : veto.incarnation_;
+        ++announcement.sentCount_;
+        announcement.lastSentAt_ = now;
+        const Incarnation known = veto.isIncarnationFromLater_ ? Incarnation() : veto.incarnation_;
         digest.leaving_.push_back(
             membership::LeavingEntry{vm, now - veto.since_, veto.count_, known});
     }
--- a/tests/watching/failures.cpp
+++ b/tests/watching/failures.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// A node that watches neither \p vm nor is among \p others.
-std::size_t bystander(WatchFleet &fleet, const VmId &vm)
+/// First node that does not watch \p vm.
+std::size_t nodeNotWatching(WatchFleet &fleet, const VmId &vm)
 {
     const auto watchers = fleet.watchersOf(0, vm);
     std::size_t node = 0;
@@ -69,7 +69,7 @@
     }
 }
 
-Test(watching, vm_that_refuses_connections_is_out_everywhere_within_one_probe_and_flush)
+Test(watching, vm_that_refuses_connections_is_excluded_everywhere_within_one_probe_and_flush)
 {
     WatchFleet fleet(shape(7), vmCount);
     fleet.run(seconds(8));
@@ -109,7 +109,7 @@
     cr_assert_eq(loading, 80U);
 }
 
-Test(watching, refusal_is_overruled_by_a_later_answer)
+Test(watching, connection_refusal_is_superseded_by_a_later_answer)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -154,7 +154,7 @@
     cr_assert_eq(fleet.freshAt(WatchFleet::vm(5)), 7);
 }
 
-Test(watching, answers_held_back_by_a_paused_vm_do_not_freshen)
+Test(watching, answers_delayed_by_a_paused_vm_do_not_extend_freshness)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -168,7 +168,7 @@
     fleet.endpoints_.resume(vm);
     fleet.run(milliseconds(5));
 
-    // The probe left during the pause, so what its answer proves is no younger than that.
+    // The probe was sent during the pause, so its answer is no evidence of a later state.
     const TimePoint after = fleet.watcher(watcher).freshUntil(vm);
     cr_assert_leq((after - before).count(), Duration(milliseconds(1000)).count());
     cr_assert_lt(after.time_since_epoch().count(),
@@ -186,7 +186,7 @@
         for (std::size_t i = 0; i < vmCount; ++i)
             cr_assert_geq(fleet.freshAt(WatchFleet::vm(i)), 6, "step %d, VM %zu", step, i);
     }
-    // The successor of the lost watcher is in place.
+    // Another node has replaced the lost watcher.
     for (std::size_t i = 0; i < vmCount; ++i) {
         const auto watchers = fleet.watchersOf(0, WatchFleet::vm(i));
         cr_assert_eq(watchers.size(), 2);
@@ -199,7 +199,7 @@
     WatchFleet fleet(shape(12), vmCount);
     const VmId vm = WatchFleet::vm(5);
     fleet.run(seconds(8));
-    const std::size_t router = bystander(fleet, vm);
+    const std::size_t router = nodeNotWatching(fleet, vm);
     for (const std::size_t node : fleet.watchersOf(0, vm))
         fleet.fleet_.kill(node);
 
@@ -208,10 +208,10 @@
         fleet.run(milliseconds(100));
         cr_assert(fleet.watcher(router).isFresh(vm), "step %d", step);
     }
-    cr_assert_gt(fleet.watcher(router).counters().ownProbesForNeed_, 0);
+    cr_assert_gt(fleet.watcher(router).counters().probesOfNeededVms_, 0);
 }
 
-Test(watching, router_does_not_probe_what_it_hears_of)
+Test(watching, router_does_not_probe_vms_reported_by_peers)
 {
     WatchFleet fleet(shape(7), vmCount);
     fleet.run(seconds(8));
@@ -222,10 +222,10 @@
         fleet.run(milliseconds(100));
     }
 
-    cr_assert_eq(fleet.watcher(0).counters().ownProbesForNeed_, 0);
+    cr_assert_eq(fleet.watcher(0).counters().probesOfNeededVms_, 0);
 }
 
-Test(watching, vm_of_another_site_is_heard_of_once_needed)
+Test(watching, vm_of_another_site_is_reported_once_needed)
 {
     WatchFleet fleet(shape(60, 3), 12);
     const VmId vm = WatchFleet::vm(1);
@@ -238,11 +238,11 @@
         if (step > 10)
             cr_assert(fleet.watcher(0).isFresh(vm));
     }
-    // Its watchers report it; the probe at the beginning is not kept up.
-    cr_assert_leq(fleet.watcher(0).counters().ownProbesForNeed_, 3);
+    // Its watchers report it after the initial probes, so node 0 stops probing it.
+    cr_assert_leq(fleet.watcher(0).counters().probesOfNeededVms_, 3);
 }
 
-Test(watching, watcher_cut_off_from_a_vm_does_not_take_it_out)
+Test(watching, watcher_cut_off_from_a_vm_does_not_exclude_it)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -260,7 +260,7 @@
     WatchFleet fleet(shape(12), vmCount);
     const VmId vm = WatchFleet::vm(5);
     fleet.run(seconds(8));
-    const std::size_t router = bystander(fleet, vm);
+    const std::size_t router = nodeNotWatching(fleet, vm);
 
     fleet.fleet_.network_.partition({Fleet::id(router)});
     fleet.run(milliseconds(3001));
@@ -268,7 +268,7 @@
     cr_assert_not(fleet.watcher(router).isFresh(vm));
 }
 
-Test(watching, woken_node_takes_nothing_for_fresh_from_before_its_pause)
+Test(watching, resumed_node_treats_nothing_from_before_its_pause_as_fresh)
 {
     WatchFleet fleet(shape(7), vmCount);
     fleet.run(seconds(8));
@@ -287,7 +287,7 @@
     }
 }
 
-Test(watching, restart_of_a_vm_is_seen_and_its_former_life_is_forgotten)
+Test(watching, restart_of_a_vm_replaces_its_previous_observation)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -300,11 +300,11 @@
 
     for (const std::size_t node : fleet.fleet_.all()) {
         cr_assert(fleet.watcher(node).observation(vm)->state_.incarnation_ > before);
-        cr_assert_eq(fleet.watcher(node).counters().restartsSeen_, 1);
+        cr_assert_eq(fleet.watcher(node).counters().restartsObserved_, 1);
     }
 }
 
-Test(watching, observation_of_a_former_incarnation_loses)
+Test(watching, observation_of_an_earlier_incarnation_is_ignored)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -322,7 +322,7 @@
     cr_assert(fleet.watcher(0).observation(vm)->state_ == state);
 }
 
-Test(watching, duplicate_and_reordered_digests_never_freshen)
+Test(watching, duplicate_and_reordered_digests_never_extend_freshness)
 {
     WatchFleet fleet(shape(1, 1), 1);
     const VmId vm = WatchFleet::vm(0);
@@ -337,13 +337,13 @@
     cr_assert_eq((until - fleet.fleet_.clock_.now()).count(), Duration(milliseconds(2800)).count());
 
     fleet.run(milliseconds(500));
-    // Membership counts ages from now, so the copy arrives older by the time it took.
+    // Membership adjusts ages to the time of arrival, so the duplicate has a higher age.
     first.watch_->age_ += milliseconds(500);
     first.observations_[0].age_ += milliseconds(500);
     fleet.watcher(0).merge(first);
     cr_assert(fleet.watcher(0).freshUntil(vm) == until);
 
-    // A summary of a set that is not the one known here proves nothing about the VM.
+    // A summary of an unknown set is no evidence about the VM.
     membership::Digest other = first;
     other.observations_.clear();
     other.watch_ = membership::WatchSummary{6, 9, {}, 0, {}};
@@ -351,7 +351,7 @@
     cr_assert(fleet.watcher(0).freshUntil(vm) == until);
 }
 
-Test(watching, restarted_watcher_is_understood_again)
+Test(watching, observations_of_a_restarted_watcher_are_accepted)
 {
     WatchFleet fleet(shape(7), vmCount);
     fleet.run(seconds(8));
@@ -365,7 +365,7 @@
         cr_assert_eq(fleet.freshAt(WatchFleet::vm(i)), 7);
 }
 
-Test(watching, lost_digests_are_made_up_for)
+Test(watching, lost_digests_are_recovered)
 {
     WatchFleet fleet(shape(7), vmCount);
     fleet.fleet_.network_.faults_.loss_ = 0.2;
@@ -386,7 +386,7 @@
     }
 }
 
-Test(watching, straggler_is_told_from_the_dead)
+Test(watching, straggler_is_distinguished_from_a_failed_vm)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId slow = WatchFleet::vm(5);
@@ -398,7 +398,7 @@
 
     for (const std::size_t node : fleet.fleet_.all()) {
         cr_assert(fleet.watcher(node).isStraggler(slow));
-        cr_assert(fleet.watcher(node).isFresh(slow), "it answers, so it is not dead");
+        cr_assert(fleet.watcher(node).isFresh(slow), "a slow VM still answers");
         cr_assert_not(fleet.watcher(node).isFresh(WatchFleet::vm(6)));
         cr_assert_not(fleet.watcher(node).isStraggler(WatchFleet::vm(7)));
     }
@@ -407,7 +407,7 @@
     cr_assert_not(fleet.watcher(0).isStraggler(slow));
 }
 
-Test(watching, pause_of_the_watcher_makes_no_stragglers)
+Test(watching, pause_of_the_watcher_reports_no_stragglers)
 {
     WatchFleet fleet(shape(7), vmCount);
     fleet.run(seconds(8));
--- a/tests/watching/fixture.hpp
+++ b/tests/watching/fixture.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Fleets that the tests of watching share.
+/// \brief Fleet configurations shared by the watching tests.
 #pragma once
 
 #include "support/fake_watch_fleet.hpp"
--- a/tests/watching/vetoes.cpp
+++ b/tests/watching/vetoes.cpp
@@ -28,7 +28,7 @@
         cr_assert(fleet.watcher(node).isLeaving(vm));
 }
 
-Test(watching, list_that_stops_saying_leaving_does_not_lift_the_veto)
+Test(watching, list_without_the_leaving_status_does_not_lift_the_veto)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -43,7 +43,7 @@
         cr_assert(fleet.watcher(node).isLeaving(vm));
 }
 
-Test(watching, undrain_lifts_the_veto_and_a_late_digest_does_not_bring_it_back)
+Test(watching, undrain_lifts_the_veto_and_a_late_digest_does_not_restore_it)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
@@ -74,7 +74,7 @@
     fleet.endpoints_.kill(vm);
     fleet.endpoints_.restart(vm);
     fleet.run(seconds(3));
-    cr_assert(fleet.watcher(0).isLeaving(vm), "the list still says that it leaves");
+    cr_assert(fleet.watcher(0).isLeaving(vm), "the list still shows it as leaving");
     fleet.list(vm, VmStatus::Live);
     fleet.run(seconds(1));
 
@@ -82,7 +82,7 @@
         cr_assert_not(fleet.watcher(node).isLeaving(vm));
 }
 
-Test(watching, older_vm_list_is_passed_over)
+Test(watching, older_vm_list_is_ignored)
 {
     WatchFleet fleet(shape(7), vmCount);
     const VmId vm = WatchFleet::vm(5);
