--- a/tests/support/fake_fleet.hpp
+++ b/tests/support/fake_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief A number of Membership objects on one fake network.
+/// \brief Several Membership instances connected by a simulated network.
 #pragma once
 
 #include "support/fake_peers.hpp"
@@ -12,19 +12,19 @@
 
 namespace cardamombay::support {
 
-/// \brief How many entry VMs, in how many availability zones and regions.
+/// \brief Numbers of entry VMs, availability zones and regions.
 struct FleetShape
 {
     std::size_t nodes_ = 7;
     std::size_t zones_ = 3;
     std::size_t regions_ = 1;
-    std::string charts_ = "charts"; ///< Folder of the state charts.
+    std::string charts_ = "charts"; ///< Folder of the state machine definitions.
 };
 
-/// \brief The program of member.toml in \p folder.
+/// \brief Loads the state machine of member.toml from \p folder; aborts if that fails.
 [[nodiscard]] membership::MemberProgramPtr memberProgram(const std::string &folder);
 
-/// \brief Entry VMs e000, e001 and so on; all join through the first.
+/// \brief Entry VMs e000, e001 and so on; all join through the first two.
 class Fleet
 {
 public:
@@ -35,18 +35,18 @@
     [[nodiscard]] membership::Membership &node(std::size_t index) { return *nodes_[index]; }
     [[nodiscard]] std::size_t size() const { return nodes_.size(); }
 
-    /// \brief Starts a node anew with the given incarnation.
+    /// \brief Restarts a node with the given incarnation and no state.
     void restart(std::size_t index, Incarnation incarnation);
     void kill(std::size_t index, bool isSilent = true);
     void pause(std::size_t index) { network_.pause(id(index)); }
     void resume(std::size_t index) { network_.resume(id(index)); }
 
-    /// \brief Lets time pass.
+    /// \brief Advances the simulated clock.
     void run(Duration time) { clock_.advance(time); }
 
     /// \brief The status of \p whom as \p viewer sees it; Left if unknown.
     [[nodiscard]] membership::MemberStatus status(std::size_t viewer, std::size_t whom) const;
-    /// \brief True if every node of \p viewers sees every node of \p whom alive.
+    /// \brief True if every node of \p viewers sees every node of \p whom as \p expected.
     [[nodiscard]] bool allSee(membership::MemberStatus expected,
                               const std::vector<std::size_t> &viewers,
                               const std::vector<std::size_t> &whom) const;
--- a/tests/support/fake_watch_fleet.cpp
+++ b/tests/support/fake_watch_fleet.cpp
@@ -49,9 +49,9 @@
     connect(node);
     watchers_[node]->setSites(sites_);
     watchers_[node]->setWatchers(fleet_.node(node).aliveMembers());
-    listTo(node);
+    passListTo(node);
     watchers_[node]->start();
-    renewExtraPeers(node);
+    updateExtraPeers(node);
 }
 
 void WatchFleet::connect(std::size_t node)
@@ -67,14 +67,14 @@
     watcher->onUrgent([&member] { member.flushSoon(); });
 }
 
-void WatchFleet::renewExtraPeers(std::size_t node)
+void WatchFleet::updateExtraPeers(std::size_t node)
 {
     const auto scope = fleet_.node(node).scopePeers();
     fleet_.node(node).setExtraPeers(watchers_[node]->neededPeers(scope));
     const watching::EndpointWatcher *watcher = watchers_[node].get();
     fleet_.network_.clock(Fleet::id(node)).schedule(std::chrono::seconds(1), [this, node, watcher] {
         if (watchers_[node].get() == watcher)
-            renewExtraPeers(node);
+            updateExtraPeers(node);
     });
 }
 
@@ -85,7 +85,7 @@
     addWatcher(node);
 }
 
-void WatchFleet::listTo(std::size_t node, Duration age)
+void WatchFleet::passListTo(std::size_t node, Duration age)
 {
     watchers_[node]->setVms(vms_, age);
 }
@@ -97,7 +97,7 @@
             record.status_ = status;
     }
     for (const std::size_t node : fleet_.all())
-        listTo(node, age);
+        passListTo(node, age);
 }
 
 std::vector<std::size_t> WatchFleet::watchersOf(std::size_t viewer, const VmId &vm) const
--- a/tests/support/fake_watch_fleet.hpp
+++ b/tests/support/fake_watch_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Entry VMs with membership and watching, before endpoint VMs in memory.
+/// \brief Entry VMs with membership and endpoint watching, and simulated endpoint VMs.
 #pragma once
 
 #include "support/fake_endpoints.hpp"
@@ -22,16 +22,16 @@
     [[nodiscard]] static VmId vm(std::size_t index);
     [[nodiscard]] watching::EndpointWatcher &watcher(std::size_t node) { return *watchers_[node]; }
     [[nodiscard]] FakeEndpointOrders &orders(std::size_t node) { return *orders_[node]; }
-    /// \brief Nodes that watch \p vm, as \p viewer reckons.
+    /// \brief Nodes that watch \p vm according to \p viewer.
     [[nodiscard]] std::vector<std::size_t> watchersOf(std::size_t viewer, const VmId &vm) const;
-    /// \brief Nodes that hold a fresh observation of \p vm.
+    /// \brief Number of nodes that hold a fresh observation of \p vm.
     [[nodiscard]] std::size_t freshAt(const VmId &vm) const;
 
-    /// \brief Sets the status of a VM in the platform's list and hands the list to all nodes.
+    /// \brief Sets the status of a VM in the platform's list and passes the list to all nodes.
     void list(const VmId &vm, platform::VmStatus status, Duration age = {});
-    /// \brief Hands the list to one node.
-    void listTo(std::size_t node, Duration age = {});
-    /// \brief Starts a node anew, with nothing known.
+    /// \brief Passes the list to one node.
+    void passListTo(std::size_t node, Duration age = {});
+    /// \brief Restarts a node with the given incarnation and no state.
     void restart(std::size_t node, Incarnation incarnation);
 
     void run(Duration time) { fleet_.run(time); }
@@ -44,7 +44,7 @@
 private:
     void addWatcher(std::size_t node);
     void connect(std::size_t node);
-    void renewExtraPeers(std::size_t node);
+    void updateExtraPeers(std::size_t node);
 
     watching::WatchSettings settings_;
     std::vector<std::unique_ptr<FakeEndpointOrders>> orders_;
