--- a/include/cardamombay/leases/lease_keeper.hpp
+++ b/include/cardamombay/leases/lease_keeper.hpp
@@ -93,7 +93,7 @@
     [[nodiscard]] TimePoint heldUntil() const { return heldUntil_; }
 
     /// \brief Time until which orders of the previous holder may still arrive.
-    [[nodiscard]] TimePoint quietUntil() const { return quietUntil_; }
+    [[nodiscard]] TimePoint previousOrdersUntil() const { return previousOrdersUntil_; }
 
     /// \brief Fencing token of the current or last tenure; none before the first.
     [[nodiscard]] Epoch epoch() const { return epoch_; }
@@ -175,7 +175,7 @@
     RowVersion epochVersion_;
     RowVersion leaseVersion_;
     TimePoint heldUntil_{};
-    TimePoint quietUntil_{};
+    TimePoint previousOrdersUntil_{};
     StoreTimeline timeline_;
     std::optional<TimePoint> restoredAt_;
     Duration backoff_{};
--- a/src/groups/order_desk.cpp
+++ b/src/groups/order_desk.cpp
@@ -42,7 +42,7 @@
     if (!lease_.isHeldFor(settings_.orderMargin_))
         return false;
     // An endpoint that ignores the fencing number would take a late order of the holder before.
-    return target.checksFencing_ || clock_.now() >= lease_.quietUntil();
+    return target.checksFencing_ || clock_.now() >= lease_.previousOrdersUntil();
 }
 
 /// What the order is about; the same for each try, so that the endpoint can tell a repeat.
--- a/src/leases/lease_keeper.cpp
+++ b/src/leases/lease_keeper.cpp
@@ -26,7 +26,7 @@
     , commits_(clock, store, random_)
     , machine_(std::move(program))
     , heldUntil_(clock.now())
-    , quietUntil_(clock.now())
+    , previousOrdersUntil_(clock.now())
     , backoff_(settings.retryDelay_)
 {
 }
@@ -189,7 +189,7 @@
     epochVersion_ = leaseVersion_;
     // The previous holder has stopped, but its orders may still be in transit.
     const bool isFirst = epoch_ == Epoch(1);
-    quietUntil_ = isFirst ? clock_.now() : clock_.now() + settings_.orderFlight_;
+    previousOrdersUntil_ = isFirst ? clock_.now() : clock_.now() + settings_.maxOrderTransit_;
     extend();
 }
 
--- a/tests/groups/two_planners.cpp
+++ b/tests/groups/two_planners.cpp
@@ -182,7 +182,7 @@
     first.orders_.send(addressOf(fleet, spare), staleAssign(spare, 1), [](const auto &) {});
 
     cr_assert(fleet.advanceUntil([&] { return second.lease().isHeld(); }, minutes(1)));
-    const TimePoint quietUntil = second.lease().quietUntil();
+    const TimePoint previousOrdersUntil = second.lease().previousOrdersUntil();
     run(fleet, minutes(1));
 
     bool hasOrdered = false;
@@ -190,7 +190,7 @@
         if (received.from_ != second.self_)
             continue;
         hasOrdered = true;
-        cr_assert(received.at_ >= quietUntil);
+        cr_assert(received.at_ >= previousOrdersUntil);
     }
     cr_assert(hasOrdered);
 }
--- a/tests/leases/lease_keeper.cpp
+++ b/tests/leases/lease_keeper.cpp
@@ -261,8 +261,8 @@
     while (!fixture.b_.lease_.isHeld())
         fixture.run(milliseconds(50));
 
-    const Duration quiet = fixture.b_.lease_.quietUntil() - fixture.clock_.now();
-    cr_assert(quiet > LeaseSettings{}.orderFlight_ - milliseconds(100));
+    const Duration quiet = fixture.b_.lease_.previousOrdersUntil() - fixture.clock_.now();
+    cr_assert(quiet > LeaseSettings{}.maxOrderTransit_ - milliseconds(100));
 }
 
 Test(lease_keeper, restarted_holder_waits_for_expiry_of_its_previous_lease)
