--- a/include/cardamombay/leases/lease_settings.hpp
+++ b/include/cardamombay/leases/lease_settings.hpp
@@ -15,7 +15,8 @@
     Duration renewEvery_ = std::chrono::seconds(4);      ///< Also the read interval of candidates.
     Duration rankDelay_ = std::chrono::seconds(4);       ///< Extra takeover delay per rank.
     Duration maxOrderTransit_ = std::chrono::seconds(3); ///< Maximum time an order is in transit.
-    Duration writeDeadline_ = std::chrono::seconds(2);   ///< For one write including its retries.
+    Duration writeDeadline_
+        = std::chrono::seconds(2); ///< For one write, its retries and lost answers.
     Duration retryDelay_ = std::chrono::milliseconds(500); ///< Initial backoff after a failure.
     Duration longestRetryDelay_ = std::chrono::seconds(5);
 };
--- a/include/cardamombay/membership/membership.hpp
+++ b/include/cardamombay/membership/membership.hpp
@@ -38,7 +38,7 @@
     std::uint64_t indirectProbes_ = 0;
     std::uint64_t suspicions_ = 0;
     std::uint64_t deaths_ = 0;
-    std::uint64_t refutations_ = 0; ///< Of reports about this entry VM.
+    std::uint64_t refutations_ = 0; ///< Of suspicions of this entry VM and of higher incarnations.
     std::uint64_t pausesDetected_ = 0;
     std::uint64_t tablesSent_ = 0;
 };
--- a/include/cardamombay/membership/membership_settings.hpp
+++ b/include/cardamombay/membership/membership_settings.hpp
@@ -26,7 +26,7 @@
     double retransmitFactor_ = 3.0; ///< Changes are sent factor x log10(n + 1) times per channel.
     std::uint32_t indirectProbes_ = 3;
     std::uint32_t updatesPerDigest_ = 8;
-    std::uint32_t wholeRegionLimit_ = 24; ///< In smaller regions the scope is the whole region.
+    std::uint32_t wholeRegionLimit_ = 24; ///< Up to this size the scope is the whole region.
     std::uint32_t bridgesPerRegion_ = 2;
 };
 
