--- a/src/groups/order_sender.cpp
+++ b/src/groups/order_sender.cpp
@@ -42,7 +42,7 @@
     if (!lease_.isHeldFor(settings_.orderMargin_))
         return false;
     // An endpoint that ignores the fencing number would accept a late order of the previous holder.
-    return target.checksFencing_ || clock_.now() >= lease_.quietUntil();
+    return target.checksFencing_ || clock_.now() >= lease_.previousOrdersUntil();
 }
 
 /// Idempotency key: the same for each attempt, so that the endpoint can recognize a repeat.
