--- a/include/cardamombay/control/admin_view.hpp
+++ b/include/cardamombay/control/admin_view.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Shows a control node to operators.
-/// \details Read-only: turns what the node knows into the messages of module admin. It decides
-/// nothing; the reason why a group is not usable follows the rules of the snapshot.
+/// \brief Converts the state of a control node to admin messages.
+/// \details Read-only. The reason why a group is unusable follows the same rules as the routing
+/// snapshot.
 #pragma once
 
 #include <cardamombay/admin/admin_group.hpp>
@@ -15,25 +15,26 @@
 
 namespace cardamombay::control {
 
-/// \brief Why requests do not go to a group whose members are all in order: the traffic threads
-/// have not been told of it. Without this a group was shown as usable, and the next request refused
-/// for want of capacity.
+/// \brief Why no requests are routed to a group although all its members are healthy: the published
+/// snapshot has no usable entry for it yet. Without this check a group was reported as usable while
+/// the next request was refused for lack of capacity.
 ///
-/// \returns nothing if they do.
-[[nodiscard]] std::string whyNotRouted(const routing::RoutingSnapshot &snapshot,
-                                       const ServiceName &service, const GroupId &group,
-                                       TimePoint now);
+/// \returns an empty string if requests are routed to it.
+[[nodiscard]] std::string unroutedReason(const routing::RoutingSnapshot &snapshot,
+                                         const ServiceName &service, const GroupId &group,
+                                         TimePoint now);
 
-/// \brief State of the node; \p lifecycleState comes from the daemon's chart.
+/// \brief Status of the node; \p lifecycleState comes from the daemon's state chart.
 [[nodiscard]] admin::AdminStatus statusOf(const ControlNode &node, std::string_view lifecycleState);
 
-/// \brief Every group slot that was ever formed, with the reason if it is not usable.
+/// \brief Every group slot that was ever formed, with the reason if the group is unusable.
 [[nodiscard]] std::vector<admin::AdminGroup> groupsOf(const ControlNode &node);
 
 /// \brief Every endpoint VM.
 [[nodiscard]] std::vector<admin::AdminVm> vmsOf(const ControlNode &node);
 
-/// \brief Says that the place of this entry VM is no site of \p configuration; empty if it is one.
+/// \brief Warning if \p zone and \p region do not match a site of \p configuration; empty if they
+/// do.
 [[nodiscard]] std::string siteWarning(const AvailabilityZone &zone, const RegionName &region,
                                       const config::Configuration &configuration);
 
--- a/include/cardamombay/control/config_peers.hpp
+++ b/include/cardamombay/control/config_peers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief How an entry VM asks others for the configuration while the store is down.
+/// \brief Fetches the configuration from other entry VMs while the store is unavailable.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -14,7 +14,7 @@
 
 namespace cardamombay::control {
 
-/// \brief Link to other entry VMs; answers arrive on the control thread.
+/// \brief Client of other entry VMs; callbacks run on the control thread.
 class ConfigPeers
 {
 public:
@@ -23,22 +23,24 @@
     ConfigPeers &operator=(const ConfigPeers &) = delete;
     virtual ~ConfigPeers() = default;
 
-    /// \brief Asks the entry VM at \p address for its encoded configuration record.
+    /// \brief Requests the encoded configuration record of the entry VM at \p address.
     virtual void fetch(Address address, Callback<std::string> done) = 0;
 };
 
-/// \brief Whom to ask: the few live entry VMs other than \p self that tell of the highest versions.
-[[nodiscard]] std::vector<Address> configPeersOf(std::span<const membership::MemberEntry> alive,
-                                                 const EntryId &self);
-
-/// \brief Asks several entry VMs and gives the record with the highest version.
-/// \details A peer that is behind, slow or gone does no harm as long as one of those asked is not.
-/// \param peers the link.
-/// \param clock for the answer when there is nobody to ask.
-/// \param addresses whom to ask.
-/// \param atLeast the first answer with this version or a higher one ends the search, if set.
-/// \param done receives the record's text, or PeerUnreachable if nobody gave one; never inline.
-void fetchHighest(ConfigPeers &peers, Clock &clock, std::span<const Address> addresses,
-                  ConfigVersion atLeast, Callback<std::string> done);
+/// \brief Addresses of up to three live entry VMs, without \p self, that report the highest
+/// versions.
+[[nodiscard]] std::vector<Address> selectConfigPeers(std::span<const membership::MemberEntry> alive,
+                                                     const EntryId &self);
+
+/// \brief Queries several entry VMs and returns the record with the highest version.
+/// \details Tolerates peers that are outdated, slow or unreachable, as long as one of them is not.
+/// \param peers client of the entry VMs.
+/// \param clock schedules the error callback if \p addresses is empty.
+/// \param addresses entry VMs to query.
+/// \param atLeast if set, the first response with this version or a higher one completes the query.
+/// \param done receives the encoded record, or PeerUnreachable if no peer returned one; never
+/// called inline.
+void fetchHighestVersion(ConfigPeers &peers, Clock &clock, std::span<const Address> addresses,
+                         ConfigVersion atLeast, Callback<std::string> done);
 
 } // namespace cardamombay::control
--- a/include/cardamombay/control/control_metrics.hpp
+++ b/include/cardamombay/control/control_metrics.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// \brief Metrics of the control side: what is down, what is stranded, and what it costs.
-/// \details Downtime and stranded time are what the deployment is judged by;
+/// \brief Metrics of the control side: replica downtime, stranded VMs and the overhead of control.
+/// \details Downtime and stranded time are the service-level indicators of the deployment;
 /// docs/operations/metrics.md defines them.
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace cardamombay::control {
 
-/// \brief Replicas of a service that a zone declares and that are not usable there.
+/// \brief Number of replicas of a service that are declared in a zone but not usable there.
 struct ReplicaGap
 {
     ServiceName service_;
@@ -30,23 +30,23 @@
                                                   const routing::RoutingSnapshot &snapshot,
                                                   const AvailabilityZone &zone, TimePoint now);
 
-/// \brief How many of \p healthy are member of no usable group.
+/// \brief How many VMs of \p healthy belong to no usable group.
 [[nodiscard]] std::uint32_t strandedVms(std::span<const VmId> healthy,
                                         const routing::RoutingSnapshot &snapshot, TimePoint now);
 
-/// \brief Engine VMs of \p zone that could serve: listed as live, heard of lately, not leaving and
-/// not failed.
+/// \brief Engine VMs of \p zone that could serve: listed as live, recently observed, not leaving
+/// and not failed.
 [[nodiscard]] std::vector<VmId> healthyVms(const ControlNode &node, const AvailabilityZone &zone);
 
-/// \brief Keeps the metrics of one control node; lives on the control thread.
+/// \brief Metrics of one control node; used on the control thread only.
 class ControlMetrics
 {
 public:
-    /// \param registry shown at /metrics.
+    /// \param registry exported at /metrics.
     /// \param zone availability zone of this entry VM.
     ControlMetrics(metrics::Registry &registry, AvailabilityZone zone);
 
-    /// \brief Takes the present state; the time since the last call counts as spent in it.
+    /// \brief Samples the current state and attributes the time since the last call to it.
     void update(const ControlNode &node);
     void claimAnswered(traffic::ClaimVerdict verdict);
 
--- a/include/cardamombay/control/control_node.hpp
+++ b/include/cardamombay/control/control_node.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief The control side of one entry VM, composed into one object.
-/// \details Owns configuration, membership, watching, leases, groups and claims, and makes the
-/// routing snapshot. It is fed with events and time through interfaces and does no I/O itself, so
-/// that a daemon runs one and a test or bench runs many in one process. Single-threaded.
+/// \brief The control side of one entry VM.
+/// \details Owns configuration, membership, watching, leases, groups and claims, and builds the
+/// routing snapshot. Events, time and I/O are injected through interfaces, so that a daemon can run
+/// one node and a test or benchmark many in one process. Single-threaded.
 #pragma once
 
 #include <cardamombay/claims/claim_book.hpp>
@@ -31,7 +31,7 @@
 
 namespace cardamombay::control {
 
-/// \brief Everything a control node acts through.
+/// \brief External interfaces that a control node uses.
 struct ControlLinks
 {
     Clock &clock_;
@@ -60,33 +60,34 @@
     ControlNode &operator=(const ControlNode &) = delete;
     ~ControlNode();
 
-    /// \name Life
+    /// \name Lifecycle
     /// \{
     void start();
-    /// \brief Tells peers that this entry VM drains and gives its leases back.
+    /// \brief Announces to peers that this entry VM is draining and releases its leases.
     void drain();
-    /// \brief True once a drain has given back every lease.
+    /// \brief True once a drain has released every lease.
     [[nodiscard]] bool isDrained() const { return planner_.isReleased(); }
-    /// \brief Tells peers that this entry VM is gone.
+    /// \brief Announces to peers that this entry VM has left.
     void leave() { membership_.leave(); }
     /// \}
 
     /// \name Events
     /// \{
-    /// \brief A digest of a peer; returns the answer to it.
+    /// \brief Processes the digest of a peer and returns the reply.
     [[nodiscard]] membership::Digest handle(const membership::Digest &incoming);
-    /// \brief Demand and in-flight requests of this entry VM; replaces the former report.
+    /// \brief Sets demand and in-flight requests of this entry VM, replacing the previous report.
     void setTraffic(std::vector<routing::DemandReport> demand,
                     std::vector<membership::InFlightEntry> inFlight);
-    /// \brief An operator drains an endpoint VM: no new work, and its group moves away.
+    /// \brief Drains an endpoint VM for an operator: it gets no new work and its group is
+    /// relocated.
     void drainVm(const VmId &vm) { watcher_.markLeaving(vm); }
-    /// \brief An operator takes a drain back.
+    /// \brief Cancels the drain of an endpoint VM.
     void undrainVm(const VmId &vm) { watcher_.clearLeaving(vm); }
-    /// \brief Receives every new routing snapshot.
+    /// \brief Sets the callback that receives every new routing snapshot.
     void onSnapshot(SnapshotSink sink) { sink_ = std::move(sink); }
     /// \}
 
-    /// \name Parts, for status pages, claims and tests
+    /// \name Components, for status pages, claims and tests
     /// \{
     [[nodiscard]] claims::ClaimBook &claims() { return claims_; }
     [[nodiscard]] config::ConfigAgent &configuration() { return config_; }
@@ -100,7 +101,7 @@
     [[nodiscard]] const routing::RoutingSnapshotPtr &snapshot() const { return snapshot_; }
     [[nodiscard]] TimePoint startedAt() const { return startedAt_; }
     [[nodiscard]] TimePoint now() const { return clock_.now(); }
-    /// \brief Own in-flight requests by group, as last reported.
+    /// \brief In-flight requests of this entry VM by group, as last reported.
     [[nodiscard]] const std::vector<membership::InFlightEntry> &inFlight() const
     {
         return inFlight_;
@@ -109,7 +110,7 @@
     /// \}
 
 private:
-    /// Shows the watcher to the planner.
+    /// Adapts the watcher to the planner's view of VMs.
     class WatcherView final : public groups::VmView
     {
     public:
@@ -123,7 +124,7 @@
         const watching::EndpointWatcher &watcher_;
     };
 
-    /// Tells the claims which entry VMs still run.
+    /// Adapts membership to the liveness check of claims.
     class MemberLiveness final : public claims::EntryLiveness
     {
     public:
@@ -138,17 +139,17 @@
     };
 
     void connect();
-    void takeList();
-    void takeMembers();
-    void takeConfiguration();
+    void applyVmList();
+    void applyMembers();
+    void applyConfiguration();
     void fillDigest(membership::Digest &digest);
-    void takeDigest(const membership::Digest &digest);
+    void mergeDigest(const membership::Digest &digest);
     void tickSnapshot();
     void tickPlan();
     void publish();
-    void askForNeeded();
-    void needOwnZone(const routing::SnapshotService &service);
-    void needElsewhere(const routing::SnapshotService &service);
+    void requestDemandedVms();
+    void requestOwnZoneVms(const routing::SnapshotService &service);
+    void requestRemoteZoneVms(const routing::SnapshotService &service);
     [[nodiscard]] bool isDemanded(const ServiceName &service) const;
     [[nodiscard]] bool isMissingVm() const;
     [[nodiscard]] bool isPoller() const;
--- a/include/cardamombay/control/control_settings.hpp
+++ b/include/cardamombay/control/control_settings.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief What a control node must know of itself before it can ask anyone.
+/// \brief Local settings that a control node needs at startup.
 #pragma once
 
 #include <cardamombay/core/address.hpp>
@@ -15,23 +15,23 @@
 
 namespace cardamombay::control {
 
-/// \brief Identity, place and periods of one control node.
+/// \brief Identity, location and intervals of one control node.
 struct ControlSettings
 {
     EntryId self_;
-    Incarnation incarnation_; ///< Higher than in any former run of the same entry VM.
-    Address peerAddress_;     ///< Where peers reach this node.
+    Incarnation incarnation_; ///< Higher than in any previous run of this entry VM.
+    Address peerAddress_;     ///< Address at which peers reach this node.
     AvailabilityZone zone_;
     RegionName region_;
     std::vector<Address> seeds_;
     std::uint64_t randomSeed_ = 1;
 
-    /// \name Periods
+    /// \name Intervals
     /// \{
     Duration snapshotEvery_ = std::chrono::milliseconds(250);
     Duration planEvery_ = std::chrono::milliseconds(500);
     Duration vmListEvery_ = std::chrono::seconds(2);
-    Duration idleVmListEvery_ = std::chrono::seconds(60); ///< Entry VMs that are no list pollers.
+    Duration idleVmListEvery_ = std::chrono::seconds(60); ///< For entry VMs that are not pollers.
     Duration configPollEvery_ = std::chrono::seconds(1);
     /// \}
 
--- a/include/cardamombay/control/hosted_node.hpp
+++ b/include/cardamombay/control/hosted_node.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief A control node with its real links: the control side of a daemon.
-/// \details Joins ControlNode to HTTP, JSON-RPC and the event loop of the control thread, and
-/// carries calls of the traffic threads over to it. It decides nothing.
+/// \brief The control side of a daemon: a control node with network I/O.
+/// \details Connects ControlNode to HTTP, JSON-RPC and the event loop of the control thread, and
+/// forwards calls of the traffic threads to that thread. Contains no decision logic.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -20,16 +20,16 @@
 
 namespace cardamombay::control {
 
-/// \brief What the control side of a daemon is made of; all of it outlives the node.
+/// \brief Dependencies of a hosted node; references must outlive it.
 struct HostParts
 {
     boost::asio::io_context &context_; ///< Event loop of the control thread.
-    Clock &clock_;                     ///< Clock of that loop.
+    Clock &clock_;                     ///< Clock of that event loop.
     const settings::Settings &settings_;
     Incarnation incarnation_;
     metrics::Registry &registry_;
-    std::function<std::string()> lifecycleState_; ///< State shown to operators.
-    std::function<void()> requestStop_;           ///< An operator drains this entry VM.
+    std::function<std::string()> lifecycleState_; ///< Lifecycle state reported to operators.
+    std::function<void()> requestStop_;           ///< Called when an operator drains this entry VM.
 };
 
 /// \brief Control side of a daemon.
@@ -58,7 +58,7 @@
     void postTraffic(traffic::TrafficReport report) override;
     void claim(traffic::ClaimRequest request, traffic::ClaimCallback done) override;
     void completeClaim(traffic::ClaimCompletion completion) override;
-    /// \brief Drops the record if the control thread is far behind.
+    /// \brief Drops the record if too many are queued for the control thread.
     void recordDecision(const DecisionRecord &record) override;
     /// \}
 
--- a/include/cardamombay/control/node_charts.hpp
+++ b/include/cardamombay/control/node_charts.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief The state charts of the control side, loaded and bound once at start.
+/// \brief State charts of the control side, loaded and bound once at startup.
 #pragma once
 
 #include <cardamombay/chart/chart.hpp>
@@ -12,7 +12,7 @@
 
 namespace cardamombay::control {
 
-/// \brief All charts that the control side interprets.
+/// \brief Programs of all state charts that the control side runs.
 struct NodeCharts
 {
     membership::MemberProgramPtr member_;
@@ -22,8 +22,8 @@
     config::ConfigProgramPtr config_;
 };
 
-/// \brief Loads the charts from \p folder and binds them to the code.
-/// \returns the charts, or the first error with its place in the file.
+/// \brief Loads the charts from \p folder and binds their guards and actions.
+/// \returns the charts, or the first error with its position in the file.
 [[nodiscard]] Result<NodeCharts> loadCharts(const chart::ChartFolder &folder);
 
 } // namespace cardamombay::control
--- a/include/cardamombay/control/peer_reports.hpp
+++ b/include/cardamombay/control/peer_reports.hpp
@@ -1,7 +1,7 @@
 /// \file
-/// \brief Demand and in-flight counts that peers digested.
-/// \details Keeps the last report of each peer. A report counts only while its peer is alive and
-/// the report is recent, so that the share of a lost entry VM is divided anew by itself.
+/// \brief Demand and in-flight counts received in the digests of peers.
+/// \details Keeps the latest report of each peer. A report counts only while its peer is alive and
+/// the report is recent, so that the share of a lost entry VM is redistributed automatically.
 #pragma once
 
 #include <cardamombay/control/snapshot_builder.hpp>
@@ -13,16 +13,16 @@
 
 namespace cardamombay::control {
 
-/// \brief Last reports of peers.
+/// \brief Latest report of each peer.
 class PeerReports
 {
 public:
-    /// \brief Takes the report in \p digest.
-    void take(const membership::Digest &digest, TimePoint now);
+    /// \brief Replaces the report of the sender of \p digest.
+    void update(const membership::Digest &digest, TimePoint now);
 
-    /// \brief Forgets peers that are not among \p alive or silent for longer than \p window.
-    void forgetOthers(std::span<const membership::MemberEntry> alive, TimePoint now,
-                      Duration window);
+    /// \brief Removes reports of peers that are not in \p alive, and reports older than \p window.
+    void removeExpired(std::span<const membership::MemberEntry> alive, TimePoint now,
+                       Duration window);
 
     /// \brief In-flight requests of all peers, by group.
     [[nodiscard]] PeerLoad load() const;
--- a/include/cardamombay/control/snapshot_builder.hpp
+++ b/include/cardamombay/control/snapshot_builder.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Makes the routing snapshot out of what the control side knows.
-/// \details Pure: no time passes and nothing is asked. It guards the promise that no group serves
-/// with a member missing: a group's freshness is the earliest of its members', and a member whose
-/// own report does not match the assignment has none.
+/// \brief Builds the services of a routing snapshot from the state of the control side.
+/// \details Pure functions without I/O. They ensure that no group serves with a member missing: a
+/// group expires with the earliest expiry of its members' observations, and at once if a member
+/// reports a state that does not match its assignment.
 #pragma once
 
 #include <cardamombay/groups/group_board.hpp>
@@ -16,13 +16,13 @@
 
 namespace cardamombay::control {
 
-/// \brief VM records by name.
+/// \brief VM records by id.
 using VmRecords = std::unordered_map<VmId, platform::VmRecord>;
 
-/// \brief Load that live peers reported, by group.
+/// \brief In-flight requests reported by live peers, by group.
 using PeerLoad = std::map<GroupId, std::uint32_t>;
 
-/// \brief What a snapshot is made of; all of it outlives the call only.
+/// \brief Inputs of a snapshot; references need to be valid during the call only.
 struct SnapshotInput
 {
     config::ConfigurationPtr configuration_;
@@ -35,8 +35,8 @@
 /// \brief The groups of every service, model and plain.
 [[nodiscard]] std::vector<routing::SnapshotService> buildServices(const SnapshotInput &input);
 
-/// \brief Until when \p group may be used: the earliest lapse of its members' observations; the
-/// zero instant if a member is unknown or reports something else than \p group asks for.
+/// \brief Time until which \p group may be used: the earliest expiry of its members' observations,
+/// or a zero time point if a member is unknown or its reported state does not match \p group.
 [[nodiscard]] TimePoint groupFreshUntil(const groups::GroupRow &group,
                                         const watching::EndpointWatcher &watcher);
 
--- a/include/cardamombay/control/vm_list_poller.hpp
+++ b/include/cardamombay/control/vm_list_poller.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Keeps the platform's VM list at hand.
-/// \details Decides when to ask for the list. A few pollers of each availability zone ask often, so
-/// that a leaving VM is noticed; the others ask seldom, since they hear of leaving VMs by digest,
-/// and at once when a VM is missed. A list never replaces one that was taken later.
+/// \brief Caches the platform's VM list.
+/// \details A few pollers in each availability zone fetch the list at a short interval to detect
+/// leaving VMs. The other entry VMs learn of leaving VMs from digests, so they fetch it at a long
+/// interval, and early if a VM is missing. A list never replaces a more recent one.
 #pragma once
 
 #include <cardamombay/core/clock.hpp>
@@ -14,59 +14,59 @@
 
 namespace cardamombay::control {
 
-/// \brief Periodic reader of the VM list.
+/// \brief Fetches the VM list periodically.
 class VmListPoller
 {
 public:
     /// \param clock the runtime clock.
-    /// \param directory answers with the list.
-    /// \param random spreads the reads of many nodes.
-    /// \param often period of a poller.
-    /// \param seldom period of the others.
-    VmListPoller(Clock &clock, platform::VmDirectory &directory, Random random, Duration often,
-                 Duration seldom);
+    /// \param directory source of the list.
+    /// \param random source of the jitter between nodes.
+    /// \param pollerInterval fetch interval while this node is a poller.
+    /// \param idleInterval fetch interval otherwise.
+    VmListPoller(Clock &clock, platform::VmDirectory &directory, Random random,
+                 Duration pollerInterval, Duration idleInterval);
     VmListPoller(const VmListPoller &) = delete;
     VmListPoller &operator=(const VmListPoller &) = delete;
     ~VmListPoller();
 
-    /// \brief Reads now and then periodically.
+    /// \brief Fetches the list immediately and then periodically.
     void start();
 
-    /// \brief Whether this node is one of the pollers of its availability zone.
+    /// \brief Sets whether this node is one of the pollers of its availability zone.
     void setPoller(bool isPoller);
 
-    /// \brief A VM is missing in the list: reads within a second.
-    void want();
+    /// \brief Fetches the list within a second, because a VM is missing from it.
+    void fetchSoon();
 
-    /// \brief Called after a later list was taken.
-    void onList(std::function<void()> action) { changed_ = std::move(action); }
+    /// \brief Sets the callback that runs after a more recent list was stored.
+    void onList(std::function<void()> action) { listHandler_ = std::move(action); }
 
     /// \brief The latest list; empty before the first.
     [[nodiscard]] const platform::VmList &list() const { return list_; }
 
-    /// \brief Age of the latest list, the platform's lag included.
+    /// \brief Age of the latest list, including the platform's lag.
     [[nodiscard]] Duration age() const { return clock_.now() - takenAt_; }
     [[nodiscard]] bool hasList() const { return hasList_; }
 
 private:
-    void arm(Duration delay);
-    void ask();
-    void take(platform::VmList list);
+    void scheduleFetch(Duration delay);
+    void fetch();
+    void accept(platform::VmList list);
     [[nodiscard]] Duration period();
 
     Clock &clock_;
     platform::VmDirectory &directory_;
     Random random_;
-    Duration often_;
-    Duration seldom_;
+    Duration pollerInterval_;
+    Duration idleInterval_;
     bool isPoller_ = true;
-    bool isAsking_ = false;
+    bool isFetching_ = false;
     bool hasList_ = false;
     platform::VmList list_;
     TimePoint takenAt_{};
     TimePoint dueAt_{};
     TimerId timer_ = TimerId::None;
-    std::function<void()> changed_;
+    std::function<void()> listHandler_;
     std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
--- a/include/cardamombay/control/zone_planner.hpp
+++ b/include/cardamombay/control/zone_planner.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// \brief Plans the fabric domains that this entry VM may have to plan.
-/// \details Keeps one lease keeper and one group manager for each fabric domain of the availability
-/// zone, ranks itself among the candidates of each, and ticks the managers. An availability zone
-/// without enough entry VMs of its own is planned by those of its region.
+/// \brief Plans the fabric domains for which this entry VM is a lease candidate.
+/// \details Owns one lease keeper and one group manager per fabric domain, updates this entry VM's
+/// candidate rank for each lease, and ticks the managers whose lease is held. An availability zone
+/// with fewer than two entry VMs of its own is planned by those of its region.
 #pragma once
 
 #include <cardamombay/control/control_settings.hpp>
@@ -21,7 +21,7 @@
 
 namespace cardamombay::control {
 
-/// \brief What the planner sees at one tick.
+/// \brief Input of the planner for one tick.
 struct PlanPicture
 {
     config::ConfigurationPtr configuration_;
@@ -31,7 +31,7 @@
     groups::GroupBoard *board_ = nullptr;
 };
 
-/// \brief Planner of all fabric domains that concern this entry VM.
+/// \brief Planner of all fabric domains for which this entry VM is a candidate.
 class ZonePlanner
 {
 public:
@@ -41,22 +41,23 @@
     ZonePlanner &operator=(const ZonePlanner &) = delete;
     ~ZonePlanner();
 
-    /// \brief Ranks the candidates anew and ticks every group manager.
+    /// \brief Updates the candidate ranks and ticks the group manager of every held lease.
     void tick(const PlanPicture &picture);
 
-    /// \brief Gives all leases back and plans no more.
+    /// \brief Releases all leases and stops planning.
     void release();
 
-    /// \brief True once every lease has been given back.
+    /// \brief True once every lease is released.
     [[nodiscard]] bool isReleased() const;
 
-    /// \brief Live states of the groups whose fabric domain this entry VM plans.
+    /// \brief Current states of the groups in the fabric domains that this entry VM plans.
     [[nodiscard]] std::vector<groups::GroupStatus> groups() const;
 
-    /// \brief Leases held at this moment.
+    /// \brief Leases currently held.
     [[nodiscard]] std::vector<const leases::LeaseKeeper *> heldLeases() const;
 
-    /// \brief This entry VM's side of a lease, held or not; null if it never was a candidate.
+    /// \brief Lease keeper of \p domain, whether its lease is held or not; null if this entry VM
+    /// never was a candidate.
     [[nodiscard]] const leases::LeaseKeeper *lease(const FabricDomain &domain) const;
 
 private:
@@ -67,7 +68,7 @@
         std::unique_ptr<groups::GroupManager> manager_;
     };
 
-    /// Results of planningEntries() for one tick.
+    /// Cached results of planningEntries() for one tick.
     using ZoneEntries = std::map<AvailabilityZone, std::vector<EntryId>>;
 
     static const std::vector<EntryId> &entriesOf(const AvailabilityZone &zone,
--- a/src/control/admin_view.cpp
+++ b/src/control/admin_view.cpp
@@ -32,38 +32,39 @@
     return 0;
 }
 
-/// Says for one member why its group cannot be used; empty if it is in order.
-std::string faultOf(const ControlNode &node, const groups::GroupRow &row, const VmId &member)
+/// Why \p member makes its group unusable; empty if the member is healthy.
+std::string memberFault(const ControlNode &node, const groups::GroupRow &row, const VmId &member)
 {
     const auto &watcher = node.watcher();
     const auto *seen = watcher.observation(member);
     if (!node.vms().contains(member))
         return "VM " + member.text() + " is not in the VM list";
     if (!seen)
-        return "VM " + member.text() + " was never observed";
+        return "VM " + member.text() + " has not been observed yet";
     if (!watcher.isFresh(member))
-        return "VM " + member.text() + " has not been heard of for "
+        return "VM " + member.text() + " has not been observed for "
                + std::to_string(toMilliseconds(ageOf(node, seen))) + " ms";
     if (!row.isMatchedBy(seen->state_))
-        return "VM " + member.text() + " reports phase " + phaseOf(seen) + " or another assignment";
+        return "VM " + member.text() + " reports phase " + phaseOf(seen)
+               + " or a different assignment";
     if (watcher.isLeaving(member))
         return "VM " + member.text() + " is leaving";
     return {};
 }
 
-std::string whyNot(const ControlNode &node, const groups::GroupRow &row)
+std::string unusableReason(const ControlNode &node, const groups::GroupRow &row)
 {
     if (!row.isActive())
         return "the group is " + std::string(groups::nameOf(row.phase_)) + ": " + row.reason_;
     for (const VmId &member : row.members_) {
-        auto fault = faultOf(node, row, member);
+        auto fault = memberFault(node, row, member);
         if (!fault.empty())
             return fault;
     }
     return {};
 }
 
-/// Phases as the planners of this node see them.
+/// Phases of the groups that this node plans.
 std::map<GroupId, groups::GroupPhase> plannedPhases(const ControlNode &node)
 {
     std::map<GroupId, groups::GroupPhase> phases;
@@ -89,9 +90,9 @@
     for (const VmId &member : row.members_)
         group.members_.push_back(memberOf(node, member));
     group.inFlight_ = inFlightAt(node, row.group_);
-    group.whyNot_ = whyNot(node, row);
+    group.whyNot_ = unusableReason(node, row);
     if (group.whyNot_.empty())
-        group.whyNot_ = whyNotRouted(*node.snapshot(), row.service_, row.group_, node.now());
+        group.whyNot_ = unroutedReason(*node.snapshot(), row.service_, row.group_, node.now());
     group.isUsable_ = group.whyNot_.empty();
     group.phase_ = group.isUsable_ ? nameOf(groups::GroupPhase::Serving) : nameOf(row.phase_);
     return group;
@@ -142,8 +143,8 @@
     return status;
 }
 
-std::string whyNotRouted(const routing::RoutingSnapshot &snapshot, const ServiceName &service,
-                         const GroupId &group, TimePoint now)
+std::string unroutedReason(const routing::RoutingSnapshot &snapshot, const ServiceName &service,
+                           const GroupId &group, TimePoint now)
 {
     const auto *groups = snapshot.service(service);
     const bool isRouted
@@ -203,8 +204,8 @@
                + "': add an overlay for it, or correct zone in this entry VM's settings";
     if (site->region_ != region)
         return "zone '" + zone.text() + "' is in region '" + site->region_.text()
-               + "' by the configuration, but in '" + region.text()
-               + "' by this entry VM's settings: correct one of them";
+               + "' according to the configuration, but in '" + region.text()
+               + "' according to this entry VM's settings: correct one of them";
     return {};
 }
 
--- a/src/control/claim_desk.cpp
+++ b/src/control/claim_adapter.cpp
@@ -1,4 +1,4 @@
-#include "claim_desk.hpp"
+#include "claim_adapter.hpp"
 
 #include <utility>
 
@@ -10,8 +10,8 @@
 
 constexpr Duration retryAfterOutage = std::chrono::seconds(2);
 
-/// Turns the book's answer into traffic's.
-struct Translator
+/// Converts answers of the claim book to traffic answers.
+struct AnswerConverter
 {
     traffic::ClaimAnswer operator()(const claims::Granted &granted) const
     {
@@ -67,7 +67,7 @@
 
 } // namespace
 
-void ClaimDesk::claim(const traffic::ClaimRequest &request, traffic::ClaimCallback done)
+void ClaimAdapter::claim(const traffic::ClaimRequest &request, traffic::ClaimCallback done)
 {
     claims::ClaimRequest wanted;
     wanted.team_ = request.team_;
@@ -78,8 +78,8 @@
                     const Result<claims::ClaimAnswer> &result) { done(answerOf(id, result)); });
 }
 
-traffic::ClaimAnswer ClaimDesk::answerOf(const RequestId &request,
-                                         const Result<claims::ClaimAnswer> &result)
+traffic::ClaimAnswer ClaimAdapter::answerOf(const RequestId &request,
+                                            const Result<claims::ClaimAnswer> &result)
 {
     if (!isOk(result)) {
         traffic::ClaimAnswer answer;
@@ -88,10 +88,10 @@
     }
     if (const auto *granted = std::get_if<claims::Granted>(&valueOf(result)))
         granted_[request] = granted->claim_;
-    return std::visit(Translator{}, valueOf(result));
+    return std::visit(AnswerConverter{}, valueOf(result));
 }
 
-void ClaimDesk::complete(const traffic::ClaimCompletion &completion)
+void ClaimAdapter::complete(const traffic::ClaimCompletion &completion)
 {
     const auto found = granted_.find(completion.request_);
     if (found == granted_.end())
--- a/src/control/claim_desk.hpp
+++ b/src/control/claim_adapter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Carries claims of the traffic side to the claim book.
+/// \brief Forwards claims of the traffic side to the claim book.
 #pragma once
 
 #include <cardamombay/claims/claim_book.hpp>
@@ -9,11 +9,12 @@
 
 namespace cardamombay::control::impl {
 
-/// \brief Translates between traffic's messages and the book's; lives on the control thread.
-class ClaimDesk
+/// \brief Converts between the message types of traffic and the claim book; used on the control
+/// thread only.
+class ClaimAdapter
 {
 public:
-    explicit ClaimDesk(claims::ClaimBook &book)
+    explicit ClaimAdapter(claims::ClaimBook &book)
         : book_(book)
     {
     }
--- a/src/control/config_peers.cpp
+++ b/src/control/config_peers.cpp
@@ -10,26 +10,26 @@
 
 namespace {
 
-constexpr std::size_t peersAsked = 3;
+constexpr std::size_t maxPeersAsked = 3;
 
-/// One search over several peers.
-struct Search
+/// State of one query to several peers.
+struct VersionQuery
 {
     ConfigVersion atLeast_;
     Callback<std::string> done_;
-    std::size_t open_ = 0;
+    std::size_t pending_ = 0;
     ConfigVersion best_;
     std::string text_;
 
     void take(const Result<std::string> &answer)
     {
-        --open_;
+        --pending_;
         if (!done_)
             return;
         if (isOk(answer))
             consider(valueOf(answer));
         const bool isEnough = !atLeast_.isNone() && best_ >= atLeast_;
-        if (isEnough || open_ == 0)
+        if (isEnough || pending_ == 0)
             finish();
     }
 
@@ -37,7 +37,7 @@
     {
         const auto done = std::exchange(done_, nullptr);
         if (best_.isNone())
-            done(Error(PeerUnreachable{EntryId("any"), "no peer gave its configuration"}));
+            done(Error(PeerUnreachable{EntryId("any"), "no peer returned a configuration"}));
         else
             done(std::move(text_));
     }
@@ -55,8 +55,8 @@
 
 } // namespace
 
-std::vector<Address> configPeersOf(std::span<const membership::MemberEntry> alive,
-                                   const EntryId &self)
+std::vector<Address> selectConfigPeers(std::span<const membership::MemberEntry> alive,
+                                       const EntryId &self)
 {
     std::vector<const membership::MemberEntry *> peers;
     for (const auto &member : alive) {
@@ -66,7 +66,7 @@
     std::stable_sort(peers.begin(), peers.end(), [](const auto *left, const auto *right) {
         return left->configVersion_ > right->configVersion_;
     });
-    peers.resize(std::min(peers.size(), peersAsked));
+    peers.resize(std::min(peers.size(), maxPeersAsked));
     std::vector<Address> addresses;
     addresses.reserve(peers.size());
     for (const auto *peer : peers)
@@ -74,13 +74,13 @@
     return addresses;
 }
 
-void fetchHighest(ConfigPeers &peers, Clock &clock, std::span<const Address> addresses,
-                  ConfigVersion atLeast, Callback<std::string> done)
+void fetchHighestVersion(ConfigPeers &peers, Clock &clock, std::span<const Address> addresses,
+                         ConfigVersion atLeast, Callback<std::string> done)
 {
-    auto search = std::make_shared<Search>();
+    auto search = std::make_shared<VersionQuery>();
     search->atLeast_ = atLeast;
     search->done_ = std::move(done);
-    search->open_ = addresses.size();
+    search->pending_ = addresses.size();
     if (addresses.empty())
         clock.schedule({}, [search] { search->finish(); });
     for (const Address &address : addresses)
--- a/src/control/control_metrics.cpp
+++ b/src/control/control_metrics.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Brings a counter up to a total that is kept elsewhere.
-void raiseTo(const metrics::Counter &counter, std::uint64_t total)
+/// Advances a counter to a total that is maintained elsewhere.
+void advanceTo(const metrics::Counter &counter, std::uint64_t total)
 {
-    const auto behind = static_cast<double>(total) - counter.value();
-    if (behind > 0)
-        counter.increment(behind);
+    const auto difference = static_cast<double>(total) - counter.value();
+    if (difference > 0)
+        counter.increment(difference);
 }
 
 std::uint32_t declaredIn(const config::Service &service, const AvailabilityZone &zone)
@@ -116,10 +116,10 @@
     version_.set(static_cast<double>(node.configuration().version().value()));
     leases_.set(static_cast<double>(node.planner().heldLeases().size()));
     store_.set(node.isStoreReachable() ? 1 : 0);
-    raiseTo(probes_, node.watcher().counters().probesSent_);
-    raiseTo(failedProbes_, node.watcher().counters().probesFailed_);
-    raiseTo(digests_, node.membership().counters().exchangesStarted_);
-    raiseTo(failedDigests_, node.membership().counters().exchangesFailed_);
+    advanceTo(probes_, node.watcher().counters().probesSent_);
+    advanceTo(failedProbes_, node.watcher().counters().probesFailed_);
+    advanceTo(digests_, node.membership().counters().exchangesStarted_);
+    advanceTo(failedDigests_, node.membership().counters().exchangesFailed_);
     addDowntime(node, seconds);
     addStranded(node, seconds);
 }
--- a/src/control/control_node.cpp
+++ b/src/control/control_node.cpp
@@ -11,16 +11,17 @@
 
 namespace {
 
-/// Boards refresh once a second up to this many entry VMs, then less often.
-constexpr std::size_t boardReadersAtFullPace = 170;
+/// Up to this many entry VMs, group boards refresh once a second; beyond it, the interval grows in
+/// proportion, so that the fleet's total refresh rate stays constant.
+constexpr std::size_t maxEntriesAtFullRefreshRate = 170;
 
-/// A peer's report counts this long; digests arrive about once a second.
-constexpr Duration reportWindow = std::chrono::seconds(5);
+/// Time after which a peer's report expires; digests arrive about once a second.
+constexpr Duration reportLifetime = std::chrono::seconds(5);
 
-/// Groups of other zones asked about when the own zone has none to offer.
-constexpr std::size_t elsewhereLimit = 4;
+/// Groups of other zones whose VMs are observed when the local zone has no usable group.
+constexpr std::size_t maxRemoteGroups = 4;
 
-membership::MemberEntry memberOf(const ControlSettings &settings)
+membership::MemberEntry makeSelfEntry(const ControlSettings &settings)
 {
     membership::MemberEntry self;
     self.id_ = settings.self_;
@@ -52,7 +53,7 @@
     , random_(settings_.randomSeed_)
     , store_(links.table_, links.clock_, Random(random_.bits()))
     , membership_(links.clock_, links.peers_, Random(random_.bits()), settings_.membership_,
-                  memberOf(settings_), charts.member_)
+                  makeSelfEntry(settings_), charts.member_)
     , watcher_(links.clock_, links.orders_, settings_.watching_, settings_.self_)
     , board_(links.clock_, store_, Random(random_.bits()))
     , configStore_(links.clock_, store_, links.objects_, random_, tokensOf(settings_))
@@ -81,11 +82,11 @@
 {
     membership_.setPayloadSource(
         [this](membership::Digest &digest, const EntryId &) { fillDigest(digest); });
-    membership_.setPayloadSink([this](const membership::Digest &digest) { takeDigest(digest); });
-    membership_.onChange([this](const membership::MemberEntry &) { takeMembers(); });
+    membership_.setPayloadSink([this](const membership::Digest &digest) { mergeDigest(digest); });
+    membership_.onChange([this](const membership::MemberEntry &) { applyMembers(); });
     watcher_.onUrgent([this] { membership_.flushSoon(); });
-    list_.onList([this] { takeList(); });
-    config_.setOnChange([this](const config::ConfigurationPtr &) { takeConfiguration(); });
+    list_.onList([this] { applyVmList(); });
+    config_.setOnChange([this](const config::ConfigurationPtr &) { applyConfiguration(); });
     config_.setPeerFetch([this](ConfigVersion atLeast, Callback<std::string> done) {
         fetchFromPeers(atLeast, std::move(done));
     });
@@ -95,7 +96,7 @@
 void ControlNode::start()
 {
     startedAt_ = clock_.now();
-    takeMembers();
+    applyMembers();
     membership_.start(settings_.seeds_);
     config_.start();
     list_.start();
@@ -124,9 +125,9 @@
     inFlight_ = std::move(inFlight);
 }
 
-// ---- what changes --------------------------------------------------------------------------
+// ---- change handlers -----------------------------------------------------------------------
 
-void ControlNode::takeList()
+void ControlNode::applyVmList()
 {
     const auto &list = list_.list();
     vms_.clear();
@@ -140,7 +141,7 @@
     membership_.addSeeds(entries);
 }
 
-void ControlNode::takeMembers()
+void ControlNode::applyMembers()
 {
     const auto alive = membership_.aliveMembers();
     watcher_.setWatchers(alive);
@@ -149,11 +150,12 @@
     const bool polls = isPoller();
     list_.setPoller(polls);
     config_.setPoller(polls);
-    const auto stretch = std::max(1.0, static_cast<double>(alive.size()) / boardReadersAtFullPace);
+    const auto stretch
+        = std::max(1.0, static_cast<double>(alive.size()) / maxEntriesAtFullRefreshRate);
     board_.setRefreshEvery(std::chrono::duration_cast<Duration>(std::chrono::seconds(1) * stretch));
 }
 
-void ControlNode::takeConfiguration()
+void ControlNode::applyConfiguration()
 {
     const auto current = config_.current();
     watcher_.setSites(current->sites_);
@@ -174,8 +176,8 @@
 
 void ControlNode::fetchFromPeers(ConfigVersion atLeast, Callback<std::string> done)
 {
-    const auto addresses = configPeersOf(membership_.aliveMembers(), settings_.self_);
-    fetchHighest(configPeers_, clock_, addresses, atLeast, std::move(done));
+    const auto addresses = selectConfigPeers(membership_.aliveMembers(), settings_.self_);
+    fetchHighestVersion(configPeers_, clock_, addresses, atLeast, std::move(done));
 }
 
 // ---- digests -------------------------------------------------------------------------------
@@ -187,10 +189,10 @@
     digest.inFlight_ = inFlight_;
 }
 
-void ControlNode::takeDigest(const membership::Digest &digest)
+void ControlNode::mergeDigest(const membership::Digest &digest)
 {
     watcher_.merge(digest);
-    reports_.take(digest, clock_.now());
+    reports_.update(digest, clock_.now());
     config_.offer(membership_.highestConfigVersion());
 }
 
@@ -199,9 +201,9 @@
 void ControlNode::tickSnapshot()
 {
     snapshotTimer_ = clock_.schedule(settings_.snapshotEvery_, [this] { tickSnapshot(); });
-    reports_.forgetOthers(membership_.aliveMembers(), clock_.now(), reportWindow);
+    reports_.removeExpired(membership_.aliveMembers(), clock_.now(), reportLifetime);
     config_.offer(membership_.highestConfigVersion());
-    askForNeeded();
+    requestDemandedVms();
     publish();
 }
 
@@ -209,7 +211,7 @@
 {
     planTimer_ = clock_.schedule(settings_.planEvery_, [this] { tickPlan(); });
     if (isMissingVm())
-        list_.want();
+        list_.fetchSoon();
     if (!membership_.isTrusted() || !list_.hasList())
         return;
     const auto alive = membership_.aliveMembers();
@@ -233,20 +235,21 @@
         sink_(snapshot_);
 }
 
-/// A router that hears nothing of a VM probes by itself before it gives up.
-void ControlNode::askForNeeded()
+/// Requests observations of the VMs of services with demand: this node probes a VM of which it
+/// hears nothing before it treats it as unusable.
+void ControlNode::requestDemandedVms()
 {
     for (const auto &service : snapshot_->services_) {
         if (!isDemanded(service.service_))
             continue;
-        needOwnZone(service);
-        needElsewhere(service);
+        requestOwnZoneVms(service);
+        requestRemoteZoneVms(service);
     }
     std::vector<EntryId> scope = membership_.scopePeers();
     membership_.setExtraPeers(watcher_.neededPeers(scope));
 }
 
-void ControlNode::needOwnZone(const routing::SnapshotService &service)
+void ControlNode::requestOwnZoneVms(const routing::SnapshotService &service)
 {
     for (const auto &group : service.groups_) {
         if (group.zone_ != settings_.zone_)
@@ -256,8 +259,8 @@
     }
 }
 
-/// Asks about a few groups of other zones if the own zone cannot serve.
-void ControlNode::needElsewhere(const routing::SnapshotService &service)
+/// Requests observations of a few groups of other zones if the local zone has no usable group.
+void ControlNode::requestRemoteZoneVms(const routing::SnapshotService &service)
 {
     const TimePoint now = clock_.now();
     std::vector<const routing::SnapshotGroup *> others;
@@ -272,8 +275,8 @@
     };
     std::sort(others.begin(), others.end(),
               [&](auto *left, auto *right) { return weight(left) > weight(right); });
-    if (others.size() > elsewhereLimit)
-        others.resize(elsewhereLimit);
+    if (others.size() > maxRemoteGroups)
+        others.resize(maxRemoteGroups);
     for (const auto *group : others) {
         for (const VmId &member : group->members_)
             watcher_.need(member);
@@ -287,7 +290,7 @@
     });
 }
 
-/// True if a group has a member that the list does not show yet.
+/// True if an active group has a member that is not in the VM list.
 bool ControlNode::isMissingVm() const
 {
     for (const auto &[id, group] : board_.groups()) {
--- a/src/control/hosted_node.cpp
+++ b/src/control/hosted_node.cpp
@@ -1,6 +1,6 @@
 #include <cardamombay/control/hosted_node.hpp>
 
-#include "claim_desk.hpp"
+#include "claim_adapter.hpp"
 #include "peer_listener.hpp"
 
 #include <cardamombay/chart/chart.hpp>
@@ -32,15 +32,15 @@
 
 constexpr const char *configMethod = "config";
 constexpr const char *noParameter = "{}";
-constexpr Duration metricsEvery = std::chrono::seconds(1);
-constexpr Duration releasePoll = std::chrono::milliseconds(50);
-constexpr int releaseTurns = 60; ///< Three seconds; then the leases lapse by themselves.
-constexpr std::size_t requestRecords = 2048;     ///< Kept for "explain request".
-constexpr std::uint32_t mostPostedRecords = 512; ///< On their way to the control thread.
-constexpr std::size_t peerBodyBytes = std::size_t{8} * 1024 * 1024;
-
-/// Keeps decision records and writes each as one log line.
-class LoggedDecisions final : public DecisionSink
+constexpr Duration metricsInterval = std::chrono::seconds(1);
+constexpr Duration releasePollInterval = std::chrono::milliseconds(50);
+constexpr int maxReleasePolls = 60;              ///< Three seconds; after that the leases expire.
+constexpr std::size_t requestLogCapacity = 2048; ///< Retained for "explain request".
+constexpr std::uint32_t maxPostedRecords = 512;  ///< Queued for the control thread.
+constexpr std::size_t maxPeerBodyBytes = std::size_t{8} * 1024 * 1024;
+
+/// Stores decision records and writes each as one log line.
+class LoggingDecisionSink final : public DecisionSink
 {
 public:
     void record(DecisionRecord record) override
@@ -57,7 +57,7 @@
     DecisionLog log_;
 };
 
-/// Asks peers for their configuration over JSON-RPC.
+/// Requests the configuration of peers over JSON-RPC.
 class RpcConfigPeers final : public ConfigPeers
 {
 public:
@@ -106,7 +106,8 @@
 
 } // namespace
 
-/// All parts of the hosted node; lives on the control thread but for the snapshot holder.
+/// Components of the hosted node; used on the control thread only, except the snapshot holder and
+/// the posting functions.
 class HostedNode::Impl
 {
 public:
@@ -134,7 +135,7 @@
 
     [[nodiscard]] traffic::SnapshotHolder &holder() { return holder_; }
     [[nodiscard]] ControlNode *node() { return node_.get(); }
-    /// \brief \p done, with its verdict counted.
+    /// \brief Wraps \p done so that the verdict is counted in the metrics.
     [[nodiscard]] traffic::ClaimCallback counted(traffic::ClaimCallback done)
     {
         return [this, done = std::move(done)](traffic::ClaimAnswer answer) {
@@ -142,13 +143,13 @@
             done(std::move(answer));
         };
     }
-    [[nodiscard]] impl::ClaimDesk *claims() { return claims_.get(); }
+    [[nodiscard]] impl::ClaimAdapter *claims() { return claims_.get(); }
 
 private:
     void connect(std::function<void()> ready);
     Result<Done> listen();
-    void waitForRelease(int turnsLeft, std::function<void()> done);
-    void warnOfSite(const routing::RoutingSnapshot &snapshot);
+    void waitForRelease(int pollsLeft, std::function<void()> done);
+    void logSiteWarning(const routing::RoutingSnapshot &snapshot);
     void tickMetrics();
 
     HostParts parts_;
@@ -159,18 +160,18 @@
     endpoint::HttpEndpointOrders orders_;
     rpc::JsonRpcPeerTransport peers_;
     RpcConfigPeers configPeers_;
-    LoggedDecisions decisions_;
-    // Apart, so that requests do not push out what was decided on groups.
-    DecisionLog requestDecisions_{requestRecords};
+    LoggingDecisionSink decisions_;
+    // A separate log, so that request decisions do not evict group decisions.
+    DecisionLog requestDecisions_{requestLogCapacity};
     std::atomic<std::uint32_t> postedDecisions_ = 0;
     rpc::JsonRpcDispatcher dispatcher_;
     traffic::SnapshotHolder holder_;
-    ConfigVersion siteCheckedFor_;
+    ConfigVersion siteCheckedVersion_;
     ControlMetrics metrics_;
     TimerId metricsTimer_ = TimerId::None;
-    // The node uses the links above, so it goes before them.
+    // Declared after the links above, which the node uses, so that it is destroyed first.
     std::unique_ptr<ControlNode> node_;
-    std::unique_ptr<impl::ClaimDesk> claims_;
+    std::unique_ptr<impl::ClaimAdapter> claims_;
     std::unique_ptr<impl::PeerListener> listener_;
     std::unique_ptr<net::HttpServer> server_;
 };
@@ -183,7 +184,7 @@
     ControlLinks links{parts_.clock_, peers_,     configPeers_, table_,
                        objects_,      directory_, orders_,      decisions_};
     node_ = std::make_unique<ControlNode>(links, controlSettings(parts_), valueOf(charts));
-    claims_ = std::make_unique<impl::ClaimDesk>(node_->claims());
+    claims_ = std::make_unique<impl::ClaimAdapter>(node_->claims());
     connect(std::move(ready));
     auto listening = listen();
     if (!isOk(listening))
@@ -205,7 +206,7 @@
     });
     node_->onSnapshot(
         [this, ready = std::move(ready)](routing::RoutingSnapshotPtr snapshot) mutable {
-            warnOfSite(*snapshot);
+            logSiteWarning(*snapshot);
             const bool isConfigured = snapshot->configuration_ != nullptr;
             holder_.publish(std::move(snapshot));
             if (isConfigured && ready)
@@ -213,13 +214,13 @@
         });
 }
 
-/// Once for each version, not for each snapshot.
-void HostedNode::Impl::warnOfSite(const routing::RoutingSnapshot &snapshot)
+/// Checks once per configuration version, not for each snapshot.
+void HostedNode::Impl::logSiteWarning(const routing::RoutingSnapshot &snapshot)
 {
     const auto &configuration = snapshot.configuration_;
-    if (!configuration || configuration->version_ == siteCheckedFor_)
+    if (!configuration || configuration->version_ == siteCheckedVersion_)
         return;
-    siteCheckedFor_ = configuration->version_;
+    siteCheckedVersion_ = configuration->version_;
     const settings::Settings &own = parts_.settings_;
     const auto warning = siteWarning(own.zone_, own.region_, *configuration);
     if (!warning.empty())
@@ -228,17 +229,17 @@
 
 void HostedNode::Impl::tickMetrics()
 {
-    metricsTimer_ = parts_.clock_.schedule(metricsEvery, [this] { tickMetrics(); });
+    metricsTimer_ = parts_.clock_.schedule(metricsInterval, [this] { tickMetrics(); });
     metrics_.update(*node_);
 }
 
 Result<Done> HostedNode::Impl::listen()
 {
-    listener_ = std::make_unique<impl::PeerListener>(
-        impl::ListenerParts{*node_, dispatcher_, decisions_.log(), requestDecisions_,
-                            parts_.registry_, parts_.lifecycleState_, parts_.requestStop_});
+    listener_ = std::make_unique<impl::PeerListener>(impl::PeerListenerDependencies{
+        *node_, dispatcher_, decisions_.log(), requestDecisions_, parts_.registry_,
+        parts_.lifecycleState_, parts_.requestStop_});
     net::HttpServerLimits limits;
-    limits.bodyBytes_ = peerBodyBytes;
+    limits.bodyBytes_ = maxPeerBodyBytes;
     server_ = std::make_unique<net::HttpServer>(
         std::vector<net::ServerWorker>{{&parts_.context_, listener_.get()}}, limits);
     const auto bound = server_->listen(parts_.settings_.peers_);
@@ -255,19 +256,20 @@
 void HostedNode::Impl::returnLeases(std::function<void()> done)
 {
     node_->drain();
-    waitForRelease(releaseTurns, std::move(done));
+    waitForRelease(maxReleasePolls, std::move(done));
 }
 
-void HostedNode::Impl::waitForRelease(int turnsLeft, std::function<void()> done)
+void HostedNode::Impl::waitForRelease(int pollsLeft, std::function<void()> done)
 {
-    if (node_->isDrained() || turnsLeft == 0) {
+    if (node_->isDrained() || pollsLeft == 0) {
         node_->leave();
         done();
         return;
     }
-    parts_.clock_.schedule(releasePoll, [this, turnsLeft, done = std::move(done)]() mutable {
-        waitForRelease(turnsLeft - 1, std::move(done));
-    });
+    parts_.clock_.schedule(releasePollInterval,
+                           [this, pollsLeft, done = std::move(done)]() mutable {
+                               waitForRelease(pollsLeft - 1, std::move(done));
+                           });
 }
 
 void HostedNode::Impl::post(std::function<void()> action)
@@ -277,7 +279,7 @@
 
 void HostedNode::Impl::postDecision(const DecisionRecord &record)
 {
-    if (postedDecisions_.fetch_add(1) >= mostPostedRecords) {
+    if (postedDecisions_.fetch_add(1) >= maxPostedRecords) {
         postedDecisions_.fetch_sub(1);
         return;
     }
--- a/src/control/node_charts.cpp
+++ b/src/control/node_charts.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Loads one chart after the other and keeps the first error.
-class Loader
+/// Loads charts in sequence and stops at the first error.
+class ChartLoader
 {
 public:
-    explicit Loader(const chart::ChartFolder &folder)
+    explicit ChartLoader(const chart::ChartFolder &folder)
         : folder_(folder)
     {
     }
@@ -45,7 +45,7 @@
 Result<NodeCharts> loadCharts(const chart::ChartFolder &folder)
 {
     NodeCharts charts;
-    Loader loader(folder);
+    ChartLoader loader(folder);
     loader.load("member", &membership::makeMemberProgram, charts.member_);
     loader.load("lease", &leases::LeaseKeeper::bind, charts.lease_);
     loader.load("group", &groups::GroupLife::bind, charts.group_);
--- a/src/control/peer_listener.cpp
+++ b/src/control/peer_listener.cpp
@@ -29,13 +29,13 @@
     problem.status_ = net::statusNotFound;
     problem.type_ = "not-found";
     problem.title_ = "No such resource";
-    problem.detail_ = "nothing is known under " + std::string(path);
+    problem.detail_ = "no resource at " + std::string(path);
     problem.remedy_ = "check the name with 'cardamombayctl vms' or 'cardamombayctl groups'";
     return traffic::problemResponse(problem, RequestId{});
 }
 
-/// What follows \p prefix in \p path, if it begins with it.
-std::optional<std::string_view> behind(std::string_view path, std::string_view prefix)
+/// The rest of \p path after \p prefix; none if \p path does not start with it.
+std::optional<std::string_view> suffixAfter(std::string_view path, std::string_view prefix)
 {
     if (!path.starts_with(prefix))
         return std::nullopt;
@@ -54,7 +54,7 @@
     traffic::Problem problem;
     problem.status_ = net::statusOf(fault);
     problem.type_ = "bad-request";
-    problem.title_ = "The input is no acceptable request";
+    problem.title_ = "Invalid HTTP request";
     problem.detail_ = std::string(detail);
     problem.remedy_ = "see docs/design/peer_protocol.md";
     return traffic::problemResponse(problem, RequestId{});
@@ -65,10 +65,10 @@
     const bool isPost = request.method_ == "POST";
     if (isPost && request.target_ == rpc::rpcTarget)
         return respond(parts_.dispatcher_.handle(request.body_));
-    return isPost ? change(request.target_) : show(request.target_);
+    return isPost ? handlePost(request.target_) : handleGet(request.target_);
 }
 
-net::HttpResponse PeerListener::show(std::string_view path)
+net::HttpResponse PeerListener::handleGet(std::string_view path)
 {
     const ControlNode &node = parts_.node_;
     if (path == "/healthz")
@@ -85,33 +85,35 @@
         return respond(admin::encode(admin::configOf(node.configuration())));
     if (path == "/admin/events")
         return respond(events({}));
-    if (const auto group = behind(path, "/admin/explain/group/"))
+    if (const auto group = suffixAfter(path, "/admin/explain/group/"))
         return respond(events(*group));
-    if (const auto request = behind(path, "/admin/explain/request/"))
+    if (const auto request = suffixAfter(path, "/admin/explain/request/"))
         return respond(requestEvents(*request));
     return notFound(path);
 }
 
-net::HttpResponse PeerListener::change(std::string_view path)
+net::HttpResponse PeerListener::handlePost(std::string_view path)
 {
     ControlNode &node = parts_.node_;
     if (path == "/admin/drain/entry") {
         parts_.requestStop_();
-        return respond(admin::encode(admin::AdminAck{"the entry VM begins its shutdown"}));
+        return respond(admin::encode(admin::AdminAck{"the entry VM is shutting down"}));
     }
-    if (const auto name = behind(path, "/admin/drain/vm/")) {
+    if (const auto name = suffixAfter(path, "/admin/drain/vm/")) {
         const VmId vm(*name);
         if (!node.vms().contains(vm))
             return notFound(path);
         node.drainVm(vm);
-        return respond(admin::encode(admin::AdminAck{"VM " + vm.text() + " takes no new work"}));
+        return respond(admin::encode(
+            admin::AdminAck{"VM " + vm.text() + " is draining and gets no new work"}));
     }
-    if (const auto name = behind(path, "/admin/undrain/vm/")) {
+    if (const auto name = suffixAfter(path, "/admin/undrain/vm/")) {
         const VmId vm(*name);
         if (!node.vms().contains(vm))
             return notFound(path);
         node.undrainVm(vm);
-        return respond(admin::encode(admin::AdminAck{"VM " + vm.text() + " may take work again"}));
+        return respond(
+            admin::encode(admin::AdminAck{"VM " + vm.text() + " is no longer draining"}));
     }
     return notFound(path);
 }
--- a/src/control/peer_listener.hpp
+++ b/src/control/peer_listener.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Handler of the peer listener: digests of peers and requests of operators.
+/// \brief HTTP handler of the peer listener: digests of peers and admin requests of operators.
 #pragma once
 
 #include <cardamombay/control/admin_view.hpp>
@@ -14,8 +14,8 @@
 
 namespace cardamombay::control::impl {
 
-/// \brief What the listener shows and steers.
-struct ListenerParts
+/// \brief Dependencies of the peer listener.
+struct PeerListenerDependencies
 {
     ControlNode &node_;
     rpc::JsonRpcDispatcher &dispatcher_;
@@ -26,11 +26,11 @@
     std::function<void()> requestStop_;
 };
 
-/// \brief Answers on the control thread; every answer is immediate.
+/// \brief Responds synchronously on the control thread.
 class PeerListener final : public net::HttpHandler
 {
 public:
-    explicit PeerListener(ListenerParts parts)
+    explicit PeerListener(PeerListenerDependencies parts)
         : parts_(std::move(parts))
     {
     }
@@ -40,12 +40,12 @@
 
 private:
     [[nodiscard]] net::HttpResponse answer(const net::ServerRequest &request);
-    [[nodiscard]] net::HttpResponse show(std::string_view path);
-    [[nodiscard]] net::HttpResponse change(std::string_view path);
+    [[nodiscard]] net::HttpResponse handleGet(std::string_view path);
+    [[nodiscard]] net::HttpResponse handlePost(std::string_view path);
     [[nodiscard]] std::string events(std::string_view subject) const;
     [[nodiscard]] std::string requestEvents(std::string_view request) const;
 
-    ListenerParts parts_;
+    PeerListenerDependencies parts_;
 };
 
 } // namespace cardamombay::control::impl
--- a/src/control/peer_reports.cpp
+++ b/src/control/peer_reports.cpp
@@ -4,13 +4,13 @@
 
 namespace cardamombay::control {
 
-void PeerReports::take(const membership::Digest &digest, TimePoint now)
+void PeerReports::update(const membership::Digest &digest, TimePoint now)
 {
     reports_[digest.from_.id_] = Report{now, digest.demand_, digest.inFlight_};
 }
 
-void PeerReports::forgetOthers(std::span<const membership::MemberEntry> alive, TimePoint now,
-                               Duration window)
+void PeerReports::removeExpired(std::span<const membership::MemberEntry> alive, TimePoint now,
+                                Duration window)
 {
     std::erase_if(reports_, [&](const auto &item) {
         const bool isAlive = std::any_of(alive.begin(), alive.end(), [&](const auto &member) {
--- a/src/control/snapshot_builder.cpp
+++ b/src/control/snapshot_builder.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Builds the groups of one snapshot.
+/// Builds the services and groups of one snapshot.
 class Builder
 {
 public:
@@ -58,7 +58,7 @@
             group.isVetoed_ = group.isVetoed_ || input_.watcher_.isLeaving(member);
             group.isStraggler_ = group.isStraggler_ || input_.watcher_.isStraggler(member);
         }
-        takeLeader(group);
+        setLeaderFields(group);
         return group;
     }
 
@@ -74,12 +74,12 @@
         group.freshUntil_ = readyUntil(record.id_);
         group.isVetoed_ = input_.watcher_.isLeaving(record.id_);
         group.isStraggler_ = input_.watcher_.isStraggler(record.id_);
-        takeLeader(group);
+        setLeaderFields(group);
         return group;
     }
 
-    /// Address and load come from the member that takes the requests.
-    void takeLeader(SnapshotGroup &group) const
+    /// Sets address and load, which come from the member that receives the requests.
+    void setLeaderFields(SnapshotGroup &group) const
     {
         const auto record = input_.vms_.find(group.leader_);
         if (record == input_.vms_.end())
--- a/src/control/vm_list_poller.cpp
+++ b/src/control/vm_list_poller.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-constexpr Duration wantedWithin = std::chrono::milliseconds(500);
-constexpr double jitterShare = 0.2;
+constexpr Duration fetchSoonDelay = std::chrono::milliseconds(500);
+constexpr double jitterFraction = 0.2;
 
 } // namespace
 
 VmListPoller::VmListPoller(Clock &clock, platform::VmDirectory &directory, Random random,
-                           Duration often, Duration seldom)
+                           Duration pollerInterval, Duration idleInterval)
     : clock_(clock)
     , directory_(directory)
     , random_(random)
-    , often_(often)
-    , seldom_(seldom)
+    , pollerInterval_(pollerInterval)
+    , idleInterval_(idleInterval)
 {
 }
 
@@ -29,7 +29,7 @@
 
 void VmListPoller::start()
 {
-    ask();
+    fetch();
 }
 
 void VmListPoller::setPoller(bool isPoller)
@@ -37,38 +37,38 @@
     const bool becomesPoller = isPoller && !isPoller_;
     isPoller_ = isPoller;
     if (becomesPoller)
-        want();
+        fetchSoon();
 }
 
-void VmListPoller::want()
+void VmListPoller::fetchSoon()
 {
-    if (isAsking_ || dueAt_ <= clock_.now() + wantedWithin)
+    if (isFetching_ || dueAt_ <= clock_.now() + fetchSoonDelay)
         return;
-    arm(wantedWithin);
+    scheduleFetch(fetchSoonDelay);
 }
 
-void VmListPoller::arm(Duration delay)
+void VmListPoller::scheduleFetch(Duration delay)
 {
     clock_.cancel(timer_);
     dueAt_ = clock_.now() + delay;
-    timer_ = clock_.schedule(delay, [this] { ask(); });
+    timer_ = clock_.schedule(delay, [this] { fetch(); });
 }
 
-void VmListPoller::ask()
+void VmListPoller::fetch()
 {
-    isAsking_ = true;
+    isFetching_ = true;
     directory_.list(
         [this, isAlive = std::weak_ptr<bool>(isAlive_)](Result<platform::VmList> result) {
             if (isAlive.expired())
                 return;
-            isAsking_ = false;
-            arm(period());
+            isFetching_ = false;
+            scheduleFetch(period());
             if (isOk(result))
-                take(std::move(valueOf(result)));
+                accept(std::move(valueOf(result)));
         });
 }
 
-void VmListPoller::take(platform::VmList list)
+void VmListPoller::accept(platform::VmList list)
 {
     const TimePoint takenAt = clock_.now() - list.age_;
     if (hasList_ && takenAt < takenAt_)
@@ -76,14 +76,14 @@
     hasList_ = true;
     takenAt_ = takenAt;
     list_ = std::move(list);
-    if (changed_)
-        changed_();
+    if (listHandler_)
+        listHandler_();
 }
 
 Duration VmListPoller::period()
 {
-    const Duration base = isPoller_ ? often_ : seldom_;
-    const double factor = 1.0 + jitterShare * (random_.unit() - 0.5);
+    const Duration base = isPoller_ ? pollerInterval_ : idleInterval_;
+    const double factor = 1.0 + jitterFraction * (random_.unit() - 0.5);
     return std::chrono::duration_cast<Duration>(base * factor);
 }
 
--- a/src/control/zone_planner.cpp
+++ b/src/control/zone_planner.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t ownEntriesWanted = 2;
+constexpr std::size_t minOwnEntries = 2;
 
 } // namespace
 
@@ -31,7 +31,7 @@
         if (site && member.region_ == site->region_)
             region.push_back(member.id_);
     }
-    return own.size() < ownEntriesWanted ? region : own;
+    return own.size() < minOwnEntries ? region : own;
 }
 
 ZonePlanner::ZonePlanner(Clock &clock, platform::TableStore &store,
@@ -72,7 +72,7 @@
     return entries.emplace(zone, std::move(found)).first->second;
 }
 
-/// Looks at each fabric domain once, however many VMs it has.
+/// Checks each fabric domain once, regardless of its number of VMs.
 void ZonePlanner::addDomains(const PlanPicture &picture, ZoneEntries &entries)
 {
     std::unordered_set<std::string_view> seen;
--- a/tests/control/config_peers.cpp
+++ b/tests/control/config_peers.cpp
@@ -1,4 +1,4 @@
-// Taking the configuration from other entry VMs.
+// Fetching the configuration from other entry VMs.
 #include "config/sample.hpp"
 
 #include <cardamombay/config/config_record.hpp>
@@ -29,23 +29,23 @@
     return Error(PeerUnreachable{EntryId("any"), "test"});
 }
 
-/// Peers by port; answers when told.
+/// Peers by port; the test triggers each answer.
 class FakeConfigPeers final : public control::ConfigPeers
 {
 public:
     void fetch(Address address, Callback<std::string> done) override
     {
-        open_.emplace(address.port_, std::move(done));
+        pending_.emplace(address.port_, std::move(done));
     }
 
     void answer(std::uint16_t port, const Result<std::string> &result)
     {
-        const auto done = std::move(open_.at(port));
-        open_.erase(port);
+        const auto done = std::move(pending_.at(port));
+        pending_.erase(port);
         done(result);
     }
 
-    std::map<std::uint16_t, Callback<std::string>> open_;
+    std::map<std::uint16_t, Callback<std::string>> pending_;
 };
 
 struct Fetch
@@ -55,8 +55,8 @@
         std::vector<Address> addresses;
         for (std::uint16_t port = 1; port <= peers; ++port)
             addresses.push_back({"10.0.0.1", port});
-        control::fetchHighest(peers_, clock_, addresses, atLeast,
-                              [this](auto result) { result_ = std::move(result); });
+        control::fetchHighestVersion(peers_, clock_, addresses, atLeast,
+                                     [this](auto result) { result_ = std::move(result); });
     }
 
     ManualClock clock_;
@@ -75,7 +75,7 @@
 
 } // namespace
 
-Test(config_peers, highest_version_among_the_answers_is_given)
+Test(config_peers, highest_version_among_the_answers_is_returned)
 {
     Fetch fetch(3);
 
@@ -88,7 +88,7 @@
     cr_assert_eq(valueOf(*fetch.result_), recordOf(6));
 }
 
-Test(config_peers, answer_as_high_as_heard_of_ends_the_search)
+Test(config_peers, answer_with_the_requested_version_completes_the_query)
 {
     Fetch fetch(3, ConfigVersion{6});
 
@@ -101,7 +101,7 @@
     cr_assert_eq(valueOf(*fetch.result_), recordOf(6));
 }
 
-Test(config_peers, peers_without_a_configuration_give_an_error)
+Test(config_peers, peers_without_a_configuration_result_in_an_error)
 {
     Fetch fetch(2);
 
@@ -111,7 +111,7 @@
     cr_assert(isError<PeerUnreachable>(*fetch.result_));
 }
 
-Test(config_peers, no_peer_gives_an_error_later)
+Test(config_peers, no_peer_results_in_a_deferred_error)
 {
     Fetch fetch(0);
     cr_assert_not(fetch.result_);
@@ -121,13 +121,13 @@
     cr_assert(isError<PeerUnreachable>(*fetch.result_));
 }
 
-Test(config_peers, three_of_many_peers_with_the_highest_versions_are_asked)
+Test(config_peers, three_peers_with_the_highest_versions_are_selected)
 {
     std::vector<membership::MemberEntry> alive;
     for (std::uint16_t port = 1; port <= 20; ++port)
         alive.push_back(memberWith(port, port < 18 ? 1 : port));
 
-    const auto addresses = control::configPeersOf(alive, EntryId("entry-20"));
+    const auto addresses = control::selectConfigPeers(alive, EntryId("entry-20"));
 
     const std::vector<Address> expected{{"10.0.0.1", 19}, {"10.0.0.1", 18}, {"10.0.0.1", 1}};
     cr_assert(addresses == expected);
--- a/tests/control/views.cpp
+++ b/tests/control/views.cpp
@@ -1,4 +1,4 @@
-// What operators are shown of a control node.
+// Admin view and metrics of a control node.
 #include <cardamombay/control/admin_view.hpp>
 #include <cardamombay/control/control_metrics.hpp>
 
@@ -38,7 +38,7 @@
 
 const TimePoint now{std::chrono::seconds(100)};
 
-/// One usable and one lapsed group in zone a, one usable group in zone b.
+/// One usable and one expired group in zone a, one usable group in zone b.
 routing::RoutingSnapshot snapshotOfTwoZones()
 {
     const auto later = now + std::chrono::seconds(1);
@@ -61,7 +61,7 @@
     cr_assert(gaps[0] == (control::ReplicaGap{ServiceName("lm"), 2}));
 }
 
-Test(control_metrics, more_usable_groups_than_declared_are_no_negative_downtime)
+Test(control_metrics, more_usable_groups_than_declared_leave_no_gap)
 {
     auto configuration = configurationOfTwoZones();
     configuration.services_[0].capacity_ = {{zoneB, 1}};
@@ -79,23 +79,23 @@
     auto &groups = snapshot.services_[0].groups_;
     groups[0].group_ = GroupId("lm/zone-a/0");
     groups[1].group_ = GroupId("lm/zone-a/1");
-    const auto whyNot = [&](const char *group, const char *service = "lm") {
-        return control::whyNotRouted(snapshot, ServiceName(service), GroupId(group), now);
+    const auto reasonFor = [&](const char *group, const char *service = "lm") {
+        return control::unroutedReason(snapshot, ServiceName(service), GroupId(group), now);
     };
-    cr_assert_eq(whyNot("lm/zone-a/0"), "");
-    cr_assert_neq(whyNot("lm/zone-a/1"), "", "lapsed");
-    cr_assert_neq(whyNot("lm/zone-a/2"), "", "not in the snapshot");
-    cr_assert_neq(whyNot("lm/zone-a/0", "other"), "", "of a service without groups");
+    cr_assert_eq(reasonFor("lm/zone-a/0"), "");
+    cr_assert_neq(reasonFor("lm/zone-a/1"), "", "expired");
+    cr_assert_neq(reasonFor("lm/zone-a/2"), "", "not in the snapshot");
+    cr_assert_neq(reasonFor("lm/zone-a/0", "other"), "", "of a service without groups");
 }
 
-Test(control_metrics, healthy_vm_of_a_lapsed_group_or_none_is_stranded)
+Test(control_metrics, healthy_vm_without_a_usable_group_is_stranded)
 {
     const std::vector<VmId> healthy{VmId("vm-1"), VmId("vm-2"), VmId("vm-3"), VmId("vm-5")};
 
     cr_assert_eq(control::strandedVms(healthy, snapshotOfTwoZones(), now), 2u);
 }
 
-Test(site_warning, place_of_the_settings_must_be_a_site)
+Test(site_warning, zone_and_region_of_the_settings_must_match_a_site)
 {
     const auto configuration = configurationOfTwoZones();
     const auto warningOf = [&](const char *zone, const char *region) {
