--- a/tests/support/control_fleet.cpp
+++ b/tests/support/control_fleet.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration stepOfTime = std::chrono::milliseconds(50);
+constexpr Duration timeStep = std::chrono::milliseconds(50);
 constexpr Duration callLatency = std::chrono::milliseconds(2);
 constexpr Duration peerTimeout = std::chrono::seconds(1);
 constexpr std::uint32_t replicasPerZone = 3; ///< Two of lm and one of sm.
@@ -66,8 +66,8 @@
     };
 }
 
-/// A process that drained or left ends; a new one takes its place.
-bool isOnItsWayOut(const control::ControlNode &node)
+/// True if the process is draining or has left, so that heal() replaces it.
+bool isDrainingOrLeft(const control::ControlNode &node)
 {
     const auto &self = node.membership().self();
     return self.isDraining_ || self.status_ == membership::MemberStatus::Left;
@@ -104,14 +104,14 @@
     if (isDead_)
         return;
     if (clock_.isPaused())
-        waiting_.push_back(std::move(action));
+        deferred_.push_back(std::move(action));
     else
         action();
 }
 
 void NodeProcess::wake()
 {
-    for (const auto &action : std::exchange(waiting_, {}))
+    for (const auto &action : std::exchange(deferred_, {}))
         run(action);
 }
 
@@ -131,7 +131,7 @@
     void commit(platform::Transaction transaction, Callback<platform::CommitReceipt> done) override
     {
         ++calls_.commits_;
-        auto answer = late(std::move(done));
+        auto answer = delayed(std::move(done));
         inner_.commit(std::move(transaction),
                       [process = process_, answer](Result<platform::CommitReceipt> result) {
                           if (process->losesStoreAnswers_)
@@ -143,19 +143,19 @@
               Callback<std::vector<platform::Row>> done) override
     {
         ++calls_.reads_;
-        inner_.read(std::move(keys), late(std::move(done)));
+        inner_.read(std::move(keys), delayed(std::move(done)));
     }
     void scan(platform::Scan scan, Callback<platform::ScanPage> done) override
     {
         ++calls_.reads_;
-        inner_.scan(std::move(scan), late(std::move(done)));
+        inner_.scan(std::move(scan), delayed(std::move(done)));
     }
 
     FakeTableStore inner_;
 
 private:
     template<typename Value>
-    Callback<Value> late(Callback<Value> done)
+    Callback<Value> delayed(Callback<Value> done)
     {
         return [this, answer = answerTo(process_, std::move(done))](Result<Value> result) {
             clock_.schedule(process_->extraStoreLatency_,
@@ -340,7 +340,7 @@
 {
     ControlEntry &entry = *entries_[index];
     if (entry.links_)
-        formerLinks_.push_back(entry.links_);
+        retiredLinks_.push_back(entry.links_);
     ++entry.runs_;
     entry.isPaused_ = false;
     entry.runsSince_ = clock_.now();
@@ -379,17 +379,17 @@
 void ControlFleet::run(Duration time)
 {
     while (time > Duration::zero()) {
-        const Duration step = std::min(time, stepOfTime);
+        const Duration step = std::min(time, timeStep);
         clock_.advance(step);
         time -= step;
-        renewTruth();
+        updateTruth();
     }
 }
 
 void ControlFleet::jump(Duration time)
 {
     clock_.jump(time);
-    renewTruth();
+    updateTruth();
 }
 
 bool ControlFleet::runUntil(const std::function<bool()> &condition, Duration limit)
@@ -398,12 +398,12 @@
     while (!condition()) {
         if (clock_.now() >= end)
             return false;
-        run(stepOfTime);
+        run(timeStep);
     }
     return true;
 }
 
-void ControlFleet::renewTruth()
+void ControlFleet::updateTruth()
 {
     for (auto &[vm, truth] : truths_) {
         const auto &state = endpoints_.state(vm);
@@ -493,7 +493,7 @@
         if (entries_[index]->address_ == address)
             return index;
     }
-    throw std::runtime_error("no entry VM has that address");
+    throw std::runtime_error("no entry VM has this address");
 }
 
 // ---- endpoint VMs --------------------------------------------------------------------------
@@ -553,7 +553,7 @@
         if (record.id_ == vm)
             return record.address_;
     }
-    throw std::runtime_error("no VM has that name");
+    throw std::runtime_error("no VM has this id");
 }
 
 std::vector<VmId> ControlFleet::vmsOf(const FabricDomain &domain) const
@@ -573,7 +573,7 @@
     network_.faults_ = PeerFaults{};
     for (std::size_t index = 0; index < entries_.size(); ++index) {
         resumeEntry(index);
-        if (!entry(index).node_ || isOnItsWayOut(*entry(index).node_))
+        if (!entry(index).node_ || isDrainingOrLeft(*entry(index).node_))
             restartEntry(index);
         store(index).isCutOff_ = false;
         orders(index).isCutOff_ = false;
@@ -613,7 +613,7 @@
     return isOk(record) ? valueOf(record).version_ : ConfigVersion{};
 }
 
-// ---- what is true --------------------------------------------------------------------------
+// ---- queries of actual state ---------------------------------------------------------------
 
 std::vector<groups::GroupRow> ControlFleet::groupRows() const
 {
--- a/tests/support/control_fleet.hpp
+++ b/tests/support/control_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Whole control nodes in one process: entry VMs, endpoint VMs and the platform in memory.
+/// \brief Simulates a fleet in one process: control nodes, fake endpoint VMs and a fake platform.
 #pragma once
 
 #include "support/fake_endpoints.hpp"
@@ -20,18 +20,19 @@
 
 namespace cardamombay::support {
 
-/// \brief How many VMs, and where.
+/// \brief Size and layout of the fleet.
 struct ControlFleetShape
 {
     std::vector<std::uint32_t> entriesPerZone_ = {3, 2};
     std::uint32_t domainsPerZone_ = 2;
     std::uint32_t vmsPerDomain_ = 5;
-    std::uint32_t concurrentLoads_ = 4; ///< In one fabric domain.
-    bool checksFencing_ = true;         ///< Engines refuse an old fencing number.
+    std::uint32_t concurrentLoads_ = 4; ///< Per fabric domain.
+    bool checksFencing_ = true;         ///< Engines reject outdated fencing numbers.
     std::string charts_ = "charts";     ///< Folder of the state charts.
 };
 
-/// \brief Process of one entry VM: runs, stands still or is dead; answers wait while it stands.
+/// \brief Simulated process of one entry VM: running, paused or dead. Answers are deferred while it
+/// is paused.
 class NodeProcess
 {
 public:
@@ -43,7 +44,7 @@
     Duration extraStoreLatency_{};
     bool losesStoreAnswers_ = false;
 
-    /// \brief Gives an answer to the process now, at its wake, or never.
+    /// \brief Runs \p action now, on wake() if the process is paused, or never if it is dead.
     void run(std::function<void()> action);
     void wake();
     void die() { isDead_ = true; }
@@ -52,12 +53,12 @@
 private:
     PausableClock &clock_;
     bool isDead_ = false;
-    std::vector<std::function<void()>> waiting_;
+    std::vector<std::function<void()>> deferred_;
 };
 
 class ControlFleet;
 
-/// \brief One entry VM; its links outlive its process, since messages may still be under way.
+/// \brief One entry VM; its links outlive its process, since messages may still be in flight.
 struct ControlEntry
 {
     EntryId id_;
@@ -65,8 +66,8 @@
     AvailabilityZone zone_;
     std::uint64_t runs_ = 0;
     bool isPaused_ = false;
-    TimePoint runsSince_{};        ///< Start or wake, whichever was later.
-    ConfigVersion highestInForce_; ///< Over all runs.
+    TimePoint runsSince_{};        ///< Time of the last start or resume.
+    ConfigVersion highestInForce_; ///< Maximum over all runs.
     struct Links;
     std::shared_ptr<Links> links_;
     std::unique_ptr<control::ControlNode> node_; ///< Null while dead.
@@ -74,23 +75,23 @@
     [[nodiscard]] bool isRunning() const { return node_ && !isPaused_; }
 };
 
-/// \brief Calls of the entry VMs to the table service, answered or not.
+/// \brief Counts calls of the entry VMs to the table service, including unanswered ones.
 struct StoreCalls
 {
     std::uint64_t commits_ = 0;
-    std::uint64_t reads_ = 0; ///< Scans too.
+    std::uint64_t reads_ = 0; ///< Includes scans.
 };
 
-/// \brief What is true of an endpoint VM, for checks; the nodes cannot see it.
+/// \brief Actual state of an endpoint VM, for checks; not visible to the nodes.
 struct EndpointTruth
 {
     bool isDead_ = false;
     bool isPaused_ = false;
     endpoint::EndpointState state_;
-    TimePoint changedAt_{}; ///< When anything of the above changed but load.
+    TimePoint changedAt_{}; ///< Last change of the state above, except load.
 };
 
-/// \brief The fleet.
+/// \brief Simulated fleet with fault injection.
 /// \code
 /// ControlFleet fleet(shape, seed);
 /// fleet.applyConfiguration("first");
@@ -102,20 +103,20 @@
     explicit ControlFleet(ControlFleetShape shape, std::uint64_t seed = 1);
     ~ControlFleet();
 
-    /// \brief Lets time pass, in small steps, and keeps truth() up to date.
+    /// \brief Advances time in small steps and updates truth() after each.
     void run(Duration time);
-    /// \brief Time passes for everybody while nobody runs.
+    /// \brief Moves all clocks forward while no process runs.
     void jump(Duration time);
     /// \brief Runs until \p condition holds; false if it does not within \p limit.
     bool runUntil(const std::function<bool()> &condition, Duration limit);
 
-    /// \brief Ends all faults; dead VMs come back, leaving ones are replaced.
+    /// \brief Clears all faults, restarts dead VMs and replaces leaving ones.
     void heal();
 
     /// \name Entry VMs
     /// \{
     void killEntry(std::size_t index, bool isSilent = true);
-    void restartEntry(std::size_t index); ///< Also of a dead one; always a new incarnation.
+    void restartEntry(std::size_t index); ///< Also if it is dead; always as a new incarnation.
     void pauseEntry(std::size_t index);
     void resumeEntry(std::size_t index);
     void cut(std::size_t from, std::size_t to);
@@ -140,39 +141,39 @@
     [[nodiscard]] std::vector<VmId> vmsOf(const FabricDomain &domain) const;
     [[nodiscard]] const std::vector<FabricDomain> &domains() const { return domains_; }
     [[nodiscard]] const EndpointTruth &truth(const VmId &vm) const { return truths_.at(vm); }
-    /// \brief Since when VMs are listed as leaving.
+    /// \brief VMs listed as leaving, with the time since when.
     [[nodiscard]] const std::map<VmId, TimePoint> &leaving() const { return leaving_; }
     /// \}
 
     /// \name Configuration
     /// \{
-    /// \brief An operator applies a configuration that differs by \p note; \p operatorIndex lets
-    /// two race. The answer arrives as time passes.
+    /// \brief Applies a configuration that differs by \p note as operator \p operatorIndex; two
+    /// operators can race. The answer arrives asynchronously as time advances.
     void applyConfiguration(const std::string &note, std::size_t operatorIndex = 0);
-    /// \brief Highest version that an operator was told is accepted.
+    /// \brief Highest version that was reported to an operator as accepted.
     [[nodiscard]] ConfigVersion accepted() const { return accepted_; }
-    /// \brief Version that the platform's store holds.
+    /// \brief Version in the platform's store.
     [[nodiscard]] ConfigVersion stored() const;
     /// \}
 
-    /// \name What the platform and the VMs say
+    /// \name Queries of platform and VM state
     /// \{
     [[nodiscard]] std::vector<groups::GroupRow> groupRows() const;
-    /// \brief True if the VM's row names that formation.
+    /// \brief True if the VM's row refers to the group and generation of \p row.
     [[nodiscard]] bool isRowOf(const VmId &vm, const groups::GroupRow &row) const;
-    /// \brief A VM that holds an assignment which no group row has; none if all is in order.
+    /// \brief A VM whose assignment matches no group row, if there is one.
     [[nodiscard]] std::optional<VmId> strandedVm() const;
-    /// \brief True if every entry VM runs and sees all others alive.
+    /// \brief True if every entry VM runs and considers all others alive.
     [[nodiscard]] bool isEveryoneAlive() const;
-    /// \brief True if every member of the formation is alive, ready and holds it.
+    /// \brief True if every member is running, ready and holds the assignment of \p row.
     [[nodiscard]] bool isWhole(const groups::GroupRow &row) const;
-    /// \brief Formations that are active and whole.
+    /// \brief Number of active groups for which isWhole() holds.
     [[nodiscard]] std::size_t wholeGroups() const;
-    /// \brief Replicas declared over all zones.
+    /// \brief Number of replicas declared in all zones.
     [[nodiscard]] std::size_t declaredReplicas() const;
-    /// \brief True if every entry VM runs and has the stored version in force.
+    /// \brief True if every entry VM runs and uses the stored configuration version.
     [[nodiscard]] bool isInForce() const;
-    /// \brief True if every declared replica is whole and usable at each node of its zone.
+    /// \brief True if every declared replica is whole, and usable at each running node of its zone.
     [[nodiscard]] bool isServing() const;
     /// \}
 
@@ -192,7 +193,7 @@
     void addEntries(std::uint64_t seed);
     void addVms();
     void startEntry(std::size_t index);
-    void renewTruth();
+    void updateTruth();
     [[nodiscard]] std::size_t indexAt(const Address &address) const;
 
     ControlFleetShape shape_;
@@ -204,7 +205,7 @@
     std::map<VmId, TimePoint> leaving_;
     std::set<std::pair<std::size_t, std::size_t>> cuts_;
     std::vector<std::unique_ptr<ControlEntry>> entries_;
-    std::vector<std::shared_ptr<ControlEntry::Links>> formerLinks_;
+    std::vector<std::shared_ptr<ControlEntry::Links>> retiredLinks_;
     Random operatorRandom_{99};
     FakeTableStore operatorTable_;
     FakeObjectStore operatorObjects_;
