--- a/include/cardamombay/control/hosted_node.hpp
+++ b/include/cardamombay/control/hosted_node.hpp
@@ -21,7 +21,7 @@
 namespace cardamombay::control {
 
 /// \brief Dependencies of a hosted node; references must outlive it.
-struct HostParts
+struct HostedNodeDependencies
 {
     boost::asio::io_context &context_; ///< Event loop of the control thread.
     Clock &clock_;                     ///< Clock of that event loop.
@@ -40,7 +40,7 @@
 class HostedNode final : public traffic::ControlSide
 {
 public:
-    explicit HostedNode(const HostParts &parts);
+    explicit HostedNode(const HostedNodeDependencies &parts);
     HostedNode(const HostedNode &) = delete;
     HostedNode &operator=(const HostedNode &) = delete;
     ~HostedNode() override;
--- a/include/cardamombay/control/zone_planner.hpp
+++ b/include/cardamombay/control/zone_planner.hpp
@@ -22,7 +22,7 @@
 namespace cardamombay::control {
 
 /// \brief Input of the planner for one tick.
-struct PlanPicture
+struct PlanTickInput
 {
     config::ConfigurationPtr configuration_;
     std::span<const platform::VmRecord> vms_;
@@ -42,7 +42,7 @@
     ~ZonePlanner();
 
     /// \brief Updates the candidate ranks and ticks the group manager of every held lease.
-    void tick(const PlanPicture &picture);
+    void tick(const PlanTickInput &picture);
 
     /// \brief Releases all leases and stops planning.
     void release();
@@ -71,12 +71,12 @@
     /// Cached results of planningEntries() for one tick.
     using ZoneEntries = std::map<AvailabilityZone, std::vector<EntryId>>;
 
-    static const std::vector<EntryId> &entriesOf(const AvailabilityZone &zone,
-                                                 const PlanPicture &picture, ZoneEntries &entries);
-    void addDomains(const PlanPicture &picture, ZoneEntries &entries);
+    static const std::vector<EntryId> &
+    entriesOf(const AvailabilityZone &zone, const PlanTickInput &picture, ZoneEntries &entries);
+    void addDomains(const PlanTickInput &picture, ZoneEntries &entries);
     Domain makeDomain(const platform::VmRecord &record);
     void rank(const FabricDomain &name, Domain &domain, std::span<const EntryId> entries);
-    void plan(Domain &domain, const PlanPicture &picture);
+    void plan(Domain &domain, const PlanTickInput &picture);
 
     Clock &clock_;
     platform::TableStore &store_;
--- a/include/cardamombay/forward.hpp
+++ b/include/cardamombay/forward.hpp
@@ -121,9 +121,9 @@
 class ZonePlanner;
 struct ControlLinks;
 struct ControlSettings;
-struct HostParts;
+struct HostedNodeDependencies;
 struct NodeCharts;
-struct PlanPicture;
+struct PlanTickInput;
 struct SnapshotInput;
 } // namespace control
 
--- a/src/control/hosted_node.cpp
+++ b/src/control/hosted_node.cpp
@@ -75,7 +75,7 @@
     rpc::JsonRpcPeerTransport &peers_;
 };
 
-ControlSettings controlSettings(const HostParts &parts)
+ControlSettings controlSettings(const HostedNodeDependencies &parts)
 {
     const settings::Settings &given = parts.settings_;
     ControlSettings settings;
@@ -111,7 +111,7 @@
 class HostedNode::Impl
 {
 public:
-    explicit Impl(HostParts parts)
+    explicit Impl(HostedNodeDependencies parts)
         : parts_(std::move(parts))
         , http_(parts_.context_)
         , table_(http_, platformOf(parts_.settings_))
@@ -152,7 +152,7 @@
     void logSiteWarning(const routing::RoutingSnapshot &snapshot);
     void tickMetrics();
 
-    HostParts parts_;
+    HostedNodeDependencies parts_;
     net::AsioHttpClient http_;
     platform::HttpTableStore table_;
     platform::HttpObjectStore objects_;
@@ -289,7 +289,7 @@
     });
 }
 
-HostedNode::HostedNode(const HostParts &parts)
+HostedNode::HostedNode(const HostedNodeDependencies &parts)
     : impl_(std::make_unique<Impl>(parts))
 {
 }
--- a/src/control/zone_planner.cpp
+++ b/src/control/zone_planner.cpp
@@ -49,7 +49,7 @@
 
 ZonePlanner::~ZonePlanner() = default;
 
-void ZonePlanner::tick(const PlanPicture &picture)
+void ZonePlanner::tick(const PlanTickInput &picture)
 {
     if (isReleasing_ || !picture.configuration_)
         return;
@@ -63,7 +63,8 @@
 }
 
 const std::vector<EntryId> &ZonePlanner::entriesOf(const AvailabilityZone &zone,
-                                                   const PlanPicture &picture, ZoneEntries &entries)
+                                                   const PlanTickInput &picture,
+                                                   ZoneEntries &entries)
 {
     const auto known = entries.find(zone);
     if (known != entries.end())
@@ -73,7 +74,7 @@
 }
 
 /// Checks each fabric domain once, regardless of its number of VMs.
-void ZonePlanner::addDomains(const PlanPicture &picture, ZoneEntries &entries)
+void ZonePlanner::addDomains(const PlanTickInput &picture, ZoneEntries &entries)
 {
     std::unordered_set<std::string_view> seen;
     for (const auto &record : picture.vms_) {
@@ -113,7 +114,7 @@
                                             : std::nullopt);
 }
 
-void ZonePlanner::plan(Domain &domain, const PlanPicture &picture)
+void ZonePlanner::plan(Domain &domain, const PlanTickInput &picture)
 {
     groups::PlanInput input;
     input.configuration_ = picture.configuration_;
