--- a/include/cardamombay/control/zone_planner.hpp
+++ b/include/cardamombay/control/zone_planner.hpp
@@ -42,7 +42,7 @@
     ~ZonePlanner();
 
     /// \brief Updates the candidate ranks and ticks the group manager of every held lease.
-    void tick(const PlanTickInput &picture);
+    void tick(const PlanTickInput &tickInput);
 
     /// \brief Releases all leases and stops planning.
     void release();
@@ -72,11 +72,11 @@
     using ZoneEntries = std::map<AvailabilityZone, std::vector<EntryId>>;
 
     static const std::vector<EntryId> &
-    entriesOf(const AvailabilityZone &zone, const PlanTickInput &picture, ZoneEntries &entries);
-    void addDomains(const PlanTickInput &picture, ZoneEntries &entries);
+    entriesOf(const AvailabilityZone &zone, const PlanTickInput &tickInput, ZoneEntries &entries);
+    void addDomains(const PlanTickInput &tickInput, ZoneEntries &entries);
     Domain makeDomain(const platform::VmRecord &record);
     void rank(const FabricDomain &name, Domain &domain, std::span<const EntryId> entries);
-    void plan(Domain &domain, const PlanTickInput &picture);
+    void plan(Domain &domain, const PlanTickInput &tickInput);
 
     Clock &clock_;
     platform::TableStore &store_;
--- a/src/control/zone_planner.cpp
+++ b/src/control/zone_planner.cpp
@@ -49,41 +49,41 @@
 
 ZonePlanner::~ZonePlanner() = default;
 
-void ZonePlanner::tick(const PlanTickInput &picture)
+void ZonePlanner::tick(const PlanTickInput &tickInput)
 {
-    if (isReleasing_ || !picture.configuration_)
+    if (isReleasing_ || !tickInput.configuration_)
         return;
     ZoneEntries entries;
-    addDomains(picture, entries);
+    addDomains(tickInput, entries);
     for (auto &[name, domain] : domains_) {
-        rank(name, domain, entriesOf(domain.zone_, picture, entries));
+        rank(name, domain, entriesOf(domain.zone_, tickInput, entries));
         if (domain.lease_->isHeld())
-            plan(domain, picture);
+            plan(domain, tickInput);
     }
 }
 
 const std::vector<EntryId> &ZonePlanner::entriesOf(const AvailabilityZone &zone,
-                                                   const PlanTickInput &picture,
+                                                   const PlanTickInput &tickInput,
                                                    ZoneEntries &entries)
 {
     const auto known = entries.find(zone);
     if (known != entries.end())
         return known->second;
-    auto found = planningEntries(zone, *picture.configuration_, picture.alive_);
+    auto found = planningEntries(zone, *tickInput.configuration_, tickInput.alive_);
     return entries.emplace(zone, std::move(found)).first->second;
 }
 
 /// Checks each fabric domain once, regardless of its number of VMs.
-void ZonePlanner::addDomains(const PlanTickInput &picture, ZoneEntries &entries)
+void ZonePlanner::addDomains(const PlanTickInput &tickInput, ZoneEntries &entries)
 {
     std::unordered_set<std::string_view> seen;
-    for (const auto &record : picture.vms_) {
+    for (const auto &record : tickInput.vms_) {
         const bool isEngine = record.role_ == platform::VmRole::Engine;
         if (!isEngine || record.domain_.isEmpty() || !seen.insert(record.domain_.text()).second)
             continue;
         if (domains_.contains(record.domain_))
             continue;
-        const auto &candidates = entriesOf(record.zone_, picture, entries);
+        const auto &candidates = entriesOf(record.zone_, tickInput, entries);
         const bool isCandidate
             = std::find(candidates.begin(), candidates.end(), settings_.self_) != candidates.end()
               && leases::candidateRank(record.domain_, settings_.self_, candidates).has_value();
@@ -114,14 +114,14 @@
                                             : std::nullopt);
 }
 
-void ZonePlanner::plan(Domain &domain, const PlanTickInput &picture)
+void ZonePlanner::plan(Domain &domain, const PlanTickInput &tickInput)
 {
     groups::PlanInput input;
-    input.configuration_ = picture.configuration_;
+    input.configuration_ = tickInput.configuration_;
     input.zone_ = domain.zone_;
-    input.view_ = picture.view_;
-    input.board_ = picture.board_;
-    std::copy_if(picture.vms_.begin(), picture.vms_.end(), std::back_inserter(input.vms_),
+    input.view_ = tickInput.view_;
+    input.board_ = tickInput.board_;
+    std::copy_if(tickInput.vms_.begin(), tickInput.vms_.end(), std::back_inserter(input.vms_),
                  [&](const platform::VmRecord &record) {
                      return record.role_ == platform::VmRole::Engine
                             && record.zone_ == domain.zone_;
