--- a/src/control/zone_planner.cpp
+++ b/src/control/zone_planner.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t ownEntriesWanted = 2;
+constexpr std::size_t minOwnEntries = 2;
 
 } // namespace
 
@@ -31,7 +31,7 @@
         if (site && member.region_ == site->region_)
             region.push_back(member.id_);
     }
-    return own.size() < ownEntriesWanted ? region : own;
+    return own.size() < minOwnEntries ? region : own;
 }
 
 ZonePlanner::ZonePlanner(Clock &clock, platform::TableStore &store,
@@ -49,40 +49,41 @@
 
 ZonePlanner::~ZonePlanner() = default;
 
-void ZonePlanner::tick(const PlanPicture &picture)
+void ZonePlanner::tick(const PlanTickInput &tickInput)
 {
-    if (isReleasing_ || !picture.configuration_)
+    if (isReleasing_ || !tickInput.configuration_)
         return;
     ZoneEntries entries;
-    addDomains(picture, entries);
+    addDomains(tickInput, entries);
     for (auto &[name, domain] : domains_) {
-        rank(name, domain, entriesOf(domain.zone_, picture, entries));
+        rank(name, domain, entriesOf(domain.zone_, tickInput, entries));
         if (domain.lease_->isHeld())
-            plan(domain, picture);
+            plan(domain, tickInput);
     }
 }
 
 const std::vector<EntryId> &ZonePlanner::entriesOf(const AvailabilityZone &zone,
-                                                   const PlanPicture &picture, ZoneEntries &entries)
+                                                   const PlanTickInput &tickInput,
+                                                   ZoneEntries &entries)
 {
     const auto known = entries.find(zone);
     if (known != entries.end())
         return known->second;
-    auto found = planningEntries(zone, *picture.configuration_, picture.alive_);
+    auto found = planningEntries(zone, *tickInput.configuration_, tickInput.alive_);
     return entries.emplace(zone, std::move(found)).first->second;
 }
 
-/// Looks at each fabric domain once, however many VMs it has.
-void ZonePlanner::addDomains(const PlanPicture &picture, ZoneEntries &entries)
+/// Checks each fabric domain once, regardless of its number of VMs.
+void ZonePlanner::addDomains(const PlanTickInput &tickInput, ZoneEntries &entries)
 {
     std::unordered_set<std::string_view> seen;
-    for (const auto &record : picture.vms_) {
+    for (const auto &record : tickInput.vms_) {
         const bool isEngine = record.role_ == platform::VmRole::Engine;
         if (!isEngine || record.domain_.isEmpty() || !seen.insert(record.domain_.text()).second)
             continue;
         if (domains_.contains(record.domain_))
             continue;
-        const auto &candidates = entriesOf(record.zone_, picture, entries);
+        const auto &candidates = entriesOf(record.zone_, tickInput, entries);
         const bool isCandidate
             = std::find(candidates.begin(), candidates.end(), settings_.self_) != candidates.end()
               && leases::candidateRank(record.domain_, settings_.self_, candidates).has_value();
@@ -113,14 +114,14 @@
                                             : std::nullopt);
 }
 
-void ZonePlanner::plan(Domain &domain, const PlanPicture &picture)
+void ZonePlanner::plan(Domain &domain, const PlanTickInput &tickInput)
 {
     groups::PlanInput input;
-    input.configuration_ = picture.configuration_;
+    input.configuration_ = tickInput.configuration_;
     input.zone_ = domain.zone_;
-    input.view_ = picture.view_;
-    input.groupCache_ = picture.groupCache_;
-    std::copy_if(picture.vms_.begin(), picture.vms_.end(), std::back_inserter(input.vms_),
+    input.view_ = tickInput.view_;
+    input.groupCache_ = tickInput.groupCache_;
+    std::copy_if(tickInput.vms_.begin(), tickInput.vms_.end(), std::back_inserter(input.vms_),
                  [&](const platform::VmRecord &record) {
                      return record.role_ == platform::VmRole::Engine
                             && record.zone_ == domain.zone_;
