--- a/src/claims/claim_record.cpp
+++ b/src/claims/claim_record.cpp
@@ -10,7 +10,7 @@
 
 Error claimTimeoutError()
 {
-    return StoreUnavailable{"claim", "the claim was not written before its deadline"};
+    return StoreUnavailable{"claim", "not written in time"};
 }
 
 } // namespace
--- a/src/claims/claim_registry.cpp
+++ b/src/claims/claim_registry.cpp
@@ -80,7 +80,7 @@
 {
     if (row.version_.isNone()) {
         ++counts_.refused_;
-        done(Error(StoreUnavailable{"claim", "the conflicting claim row no longer exists"}));
+        done(Error(StoreUnavailable{"claim", "the row changes too fast"}));
         return;
     }
     auto decoded = decodeClaimRow(row.value_);
--- a/src/claims/row_batcher.cpp
+++ b/src/claims/row_batcher.cpp
@@ -111,7 +111,7 @@
     }
     queue_ = std::move(rest);
     for (const auto &item : overdue)
-        item.done_(Error(StoreUnavailable{"row change", "not submitted before its deadline"}));
+        item.done_(Error(StoreUnavailable{"row change", "not submitted in time"}));
 }
 
 void RowBatcher::sendNextBatch()
--- a/src/control/admin_view.cpp
+++ b/src/control/admin_view.cpp
@@ -40,13 +40,12 @@
     if (!node.vms().contains(member))
         return "VM " + member.text() + " is not in the VM list";
     if (!seen)
-        return "VM " + member.text() + " has not been observed yet";
+        return "VM " + member.text() + " was never observed";
     if (!watcher.isFresh(member))
-        return "VM " + member.text() + " has not been observed for "
+        return "VM " + member.text() + " has not been heard of for "
                + std::to_string(toMilliseconds(ageOf(node, seen))) + " ms";
     if (!row.isMatchedBy(seen->state_))
-        return "VM " + member.text() + " reports phase " + phaseOf(seen)
-               + " or a different assignment";
+        return "VM " + member.text() + " reports phase " + phaseOf(seen) + " or another assignment";
     if (watcher.isLeaving(member))
         return "VM " + member.text() + " is leaving";
     return {};
--- a/src/control/config_peers.cpp
+++ b/src/control/config_peers.cpp
@@ -37,7 +37,7 @@
     {
         const auto done = std::exchange(done_, nullptr);
         if (best_.isNone())
-            done(Error(PeerUnreachable{EntryId("any"), "no peer returned a configuration"}));
+            done(Error(PeerUnreachable{EntryId("any"), "no peer gave its configuration"}));
         else
             done(std::move(text_));
     }
--- a/src/control/peer_listener.cpp
+++ b/src/control/peer_listener.cpp
@@ -29,7 +29,7 @@
     problem.status_ = net::statusNotFound;
     problem.type_ = "not-found";
     problem.title_ = "No such resource";
-    problem.detail_ = "no resource at " + std::string(path);
+    problem.detail_ = "nothing is known under " + std::string(path);
     problem.remedy_ = "check the name with 'cardamombayctl vms' or 'cardamombayctl groups'";
     return traffic::problemResponse(problem, RequestId{});
 }
@@ -54,7 +54,7 @@
     traffic::Problem problem;
     problem.status_ = net::statusOf(fault);
     problem.type_ = "bad-request";
-    problem.title_ = "Invalid HTTP request";
+    problem.title_ = "The input is no acceptable request";
     problem.detail_ = std::string(detail);
     problem.remedy_ = "see docs/design/peer_protocol.md";
     return traffic::problemResponse(problem, RequestId{});
@@ -97,23 +97,21 @@
     ControlNode &node = parts_.node_;
     if (path == "/admin/drain/entry") {
         parts_.requestStop_();
-        return respond(admin::encode(admin::AdminAck{"the entry VM is shutting down"}));
+        return respond(admin::encode(admin::AdminAck{"the entry VM begins its shutdown"}));
     }
     if (const auto name = suffixAfter(path, "/admin/drain/vm/")) {
         const VmId vm(*name);
         if (!node.vms().contains(vm))
             return notFound(path);
         node.drainVm(vm);
-        return respond(admin::encode(
-            admin::AdminAck{"VM " + vm.text() + " is draining and gets no new work"}));
+        return respond(admin::encode(admin::AdminAck{"VM " + vm.text() + " takes no new work"}));
     }
     if (const auto name = suffixAfter(path, "/admin/undrain/vm/")) {
         const VmId vm(*name);
         if (!node.vms().contains(vm))
             return notFound(path);
         node.undrainVm(vm);
-        return respond(
-            admin::encode(admin::AdminAck{"VM " + vm.text() + " is no longer draining"}));
+        return respond(admin::encode(admin::AdminAck{"VM " + vm.text() + " may take work again"}));
     }
     return notFound(path);
 }
