--- a/include/cardamombay/config/configuration.hpp
+++ b/include/cardamombay/config/configuration.hpp
@@ -66,7 +66,7 @@
     std::uint32_t requestsPerReplica_ = 16; ///< Concurrent requests one replica takes.
     std::uint32_t priority_ = 100;          ///< Higher gets scarce VMs first.
     bool isIdempotent_ = true;              ///< Default for requests without a rule or mark.
-    bool checksFencing_ = true;             ///< Engines refuse an old fencing number.
+    bool checksFencing_ = true;             ///< Engines refuse an old fencing token.
     std::string pathPrefix_;                ///< Plain services: paths passed through.
     std::vector<RouteRule> routes_;
     std::vector<SiteCapacity> capacity_;
--- a/include/cardamombay/endpoint/endpoint_state.hpp
+++ b/include/cardamombay/endpoint/endpoint_state.hpp
@@ -58,7 +58,7 @@
     EnginePhase phase_ = EnginePhase::Idle;
     std::optional<Assignment> assignment_;
     ModelSpec model_;
-    Epoch highestFencing_; ///< Highest fencing number seen.
+    Epoch highestFencing_; ///< Highest fencing token seen.
     LoadReport load_;
 
     friend bool operator==(const EndpointState &, const EndpointState &) = default;
--- a/include/cardamombay/forward.hpp
+++ b/include/cardamombay/forward.hpp
@@ -154,7 +154,7 @@
 struct VmRow;
 } // namespace groups
 
-/// The planner lease of each fabric domain, and its fencing number.
+/// The planner lease of each fabric domain, and its fencing token.
 namespace leases {
 class LeaseKeeper;
 struct LeaseRow;
--- a/include/cardamombay/leases/lease_keeper.hpp
+++ b/include/cardamombay/leases/lease_keeper.hpp
@@ -2,7 +2,7 @@
 /// \brief Acquires, renews and releases the planner lease of one fabric domain.
 ///
 /// The holder is the only process that plans the fabric domain and sends orders to its VMs, so that
-/// no VM belongs to two groups. Orders carry the epoch of the lease as their fencing number, and
+/// no VM belongs to two groups. Orders carry the epoch of the lease as their fencing token, and
 /// the holder sends none once the lease may have expired. Clocks of different processes are never
 /// compared: a candidate waits until the row has been unchanged for the lease duration on its own
 /// clock.
--- a/include/cardamombay/leases/lease_row.hpp
+++ b/include/cardamombay/leases/lease_row.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// \brief Rows of a planner lease in the table service, and their JSON encoding.
-/// \details The epoch increases monotonically and is the fencing number of orders. Decoding rejects
+/// \details The epoch increases monotonically and is the fencing token of orders. Decoding rejects
 /// out-of-range values.
 #pragma once
 
--- a/include/cardamombay/serving/gateway.hpp
+++ b/include/cardamombay/serving/gateway.hpp
@@ -117,7 +117,7 @@
     /// \brief Evidence and quarantines of requests that crash endpoints.
     [[nodiscard]] PoisonPills &poisonPills() { return poisonPills_; }
     /// \brief Applies crashes and quarantines reported by a peer.
-    void takePoisonNews(const PoisonUpdate &news);
+    void takePoisonUpdate(const PoisonUpdate &update);
     /// \brief Sets the callback for a crash of an endpoint with requests from this entry VM; used
     /// to notify the peers immediately.
     void onEndpointCrash(std::function<void()> action) { crashCallback_ = std::move(action); }
--- a/include/cardamombay/serving/node.hpp
+++ b/include/cardamombay/serving/node.hpp
@@ -140,7 +140,7 @@
     void onSummary(LoadSummary summary);
     void recordLoad(const EntryId &from, LoadDigest sum, std::size_t entries, TimePoint now);
     [[nodiscard]] std::size_t entriesIn(const AvailabilityZone &zone) const;
-    [[nodiscard]] std::map<ServiceName, RetryCounts> othersRepeats() const;
+    [[nodiscard]] std::map<ServiceName, RetryCounts> peerRetries() const;
     [[nodiscard]] std::vector<Address> relayTargets() const;
     void sendRelay(EndpointRelay relay, const std::vector<Address> &targets);
     void applyRelayState(const RelayState &relay, const Address &source, TimePoint now);
--- a/include/cardamombay/serving/planner_lease.hpp
+++ b/include/cardamombay/serving/planner_lease.hpp
@@ -16,7 +16,7 @@
     times.margin_ = std::chrono::milliseconds(150);
     times.renewEvery_ = std::chrono::milliseconds(600);
     times.rankDelay_ = std::chrono::milliseconds(150);
-    times.maxOrderTransit_ = Duration::zero(); // Late orders are rejected by their fencing number.
+    times.maxOrderTransit_ = Duration::zero(); // Late orders are rejected by their fencing token.
     times.writeDeadline_ = std::chrono::milliseconds(1000);
     times.retryDelay_ = std::chrono::milliseconds(150);
     times.longestRetryDelay_ = std::chrono::milliseconds(800);
--- a/include/cardamombay/serving/poison_pills.hpp
+++ b/include/cardamombay/serving/poison_pills.hpp
@@ -72,7 +72,7 @@
     /// stops several of them at once, would otherwise quarantine it.
     void served(const RequestFingerprint &request, TimePoint now);
     /// \brief Applies the observations of a peer.
-    void take(const PoisonUpdate &news, TimePoint now);
+    void take(const PoisonUpdate &update, TimePoint now);
     /// \brief Restores a verdict that was persisted across a restart.
     void restore(const RequestFingerprint &request, TimePoint now);
     /// \brief Ends a quarantine on behalf of an operator.
@@ -93,7 +93,7 @@
     quarantined(TimePoint now) const;
     /// \brief Observations for the peers; each is repeated in several messages because datagrams
     /// may be lost.
-    [[nodiscard]] PoisonUpdate news(TimePoint now);
+    [[nodiscard]] PoisonUpdate pendingUpdate(TimePoint now);
     [[nodiscard]] std::size_t suspects() const { return records_.size(); }
     /// \}
 
--- a/include/cardamombay/serving/replica_manager.hpp
+++ b/include/cardamombay/serving/replica_manager.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// \brief Forms and dissolves groups of engines while this entry VM holds the planner lease.
-/// \details Executes the planner's decisions: sends orders with the lease's fencing number, and
+/// \details Executes the planner's decisions: sends orders with the lease's fencing token, and
 /// queries the members of a stalled group to find the one that failed. The lease ensures that only
 /// one entry VM gives orders.
 #pragma once
--- a/include/cardamombay/serving/replica_orders.hpp
+++ b/include/cardamombay/serving/replica_orders.hpp
@@ -59,7 +59,7 @@
     Begun,    ///< The order is being executed.
     Done,     ///< The engine already is in the requested state.
     Misfit,   ///< The order is not valid in the engine's current state.
-    Outdated, ///< The engine has seen a higher fencing number or epoch.
+    Outdated, ///< The engine has seen a higher fencing token or epoch.
     Refused,  ///< Rejected for any other reason; the order will not be executed.
     Withheld, ///< Not sent, since the engine is in a cooldown.
 };
@@ -77,7 +77,7 @@
     virtual ~ReplicaOrders() = default;
 
     /// \brief Sends \p order once.
-    /// \param fence fencing number of the lease under which the order is given.
+    /// \param fence fencing token of the lease under which the order is given.
     /// \param done receives TimedOut if the engine may still execute the order, EndpointUnreachable
     /// if the order never reached it.
     virtual void send(const Endpoint &engine, const Order &order, std::uint64_t fence,
--- a/src/groups/order_sender.cpp
+++ b/src/groups/order_sender.cpp
@@ -41,7 +41,7 @@
 {
     if (!lease_.isHeldFor(settings_.orderMargin_))
         return false;
-    // An endpoint that ignores the fencing number would accept a late order of the previous holder.
+    // An endpoint that ignores the fencing token would accept a late order of the previous holder.
     return target.checksFencing_ || clock_.now() >= lease_.previousOrdersUntil();
 }
 
--- a/src/groups/order_sender.hpp
+++ b/src/groups/order_sender.hpp
@@ -21,7 +21,7 @@
     VmId vm_;
     Address address_;
     Incarnation incarnation_;   ///< As last reported.
-    bool checksFencing_ = true; ///< Refuses orders with an old fencing number.
+    bool checksFencing_ = true; ///< Refuses orders with an old fencing token.
 };
 
 /// \brief State that a VM returned in reply to an order or a probe.
@@ -43,7 +43,7 @@
     /// \brief Sends \p order unless the lease, the quiet period, the resend interval or an order in
     /// flight prevents it.
     /// \param target the VM to send it to.
-    /// \param order the order; send() sets its identifier, VM and fencing number.
+    /// \param order the order; send() sets its identifier, VM and fencing token.
     /// \returns true if the order was sent.
     bool send(const OrderTarget &target, endpoint::EndpointOrder order);
 
--- a/src/serving/digest_hub.cpp
+++ b/src/serving/digest_hub.cpp
@@ -60,7 +60,7 @@
         into[key] += count;
 }
 
-void addRepeats(std::map<ServiceName, RetryCounts> &into,
+void addRetries(std::map<ServiceName, RetryCounts> &into,
                 const std::map<ServiceName, RetryCounts> &counts)
 {
     for (const auto &[service, one] : counts) {
@@ -189,7 +189,7 @@
         addCounts(sum.underWay_, last.underWay_);
         addCounts(sum.heard_, last.heard_);
         addCounts(sum.demand_, last.demand_);
-        addRepeats(sum.retries_, last.retries_);
+        addRetries(sum.retries_, last.retries_);
         mergeUpdates(sum.poison_, last.poison_);
         mergeUpdates(sum.limits_, aged(last.limits_, now - source.heardAt_));
         mergeUpdates(sum.cooldowns_, last.cooldowns_, now - source.heardAt_);
--- a/src/serving/gateway.cpp
+++ b/src/serving/gateway.cpp
@@ -142,12 +142,12 @@
         crashCallback_();
 }
 
-void Gateway::takePoisonNews(const PoisonUpdate &news)
+void Gateway::takePoisonUpdate(const PoisonUpdate &update)
 {
     const auto now = parts_.clock_.now();
-    for (const auto &[endpoint, requests] : news.crashes_)
+    for (const auto &[endpoint, requests] : update.crashes_)
         parts_.loadTracker_.crashed(endpoint, now);
-    poisonPills_.take(news, now);
+    poisonPills_.take(update, now);
 }
 
 /// Copies of the request in an endpoint's queue would crash it once they start, so they are
--- a/src/serving/node_peers.cpp
+++ b/src/serving/node_peers.cpp
@@ -52,7 +52,7 @@
     dropSilentPeers(now);
     chooseWatches(now);
     relistPeersIfDue(now);
-    parts_.gateway_.setPeerRetries(othersRepeats());
+    parts_.gateway_.setPeerRetries(peerRetries());
     parts_.clock_.schedule(digestPeriod, [this, alive = std::weak_ptr(isAlive_)] {
         if (!alive.expired())
             tickDigest();
@@ -73,7 +73,7 @@
     digest.heard_ = parts_.loadTracker_.locallyActive(now);
     digest.demand_ = ownDemand_;
     digest.retries_ = parts_.gateway_.retryCounts(now);
-    digest.poison_ = parts_.gateway_.poisonPills().news(now);
+    digest.poison_ = parts_.gateway_.poisonPills().pendingUpdate(now);
     auto &reservations = parts_.gateway_.reservations();
     digest.limits_ = parts_.gateway_.limits().updates(
         now, [&reservations](const EndpointIncarnation &endpoint) {
@@ -183,7 +183,7 @@
 {
     const auto now = parts_.clock_.now();
     addTransitTime(summary.sum_, now);
-    parts_.gateway_.takePoisonNews(summary.sum_.poison_);
+    parts_.gateway_.takePoisonUpdate(summary.sum_.poison_);
     parts_.gateway_.limits().take(summary.sum_.limits_, now);
     parts_.gateway_.notices().take(summary.sum_.cooldowns_, now);
     const auto &from = summary.sum_.from_;
@@ -220,7 +220,7 @@
                       [&zone](const auto &one) { return one.second.zone_ == zone; }));
 }
 
-std::map<ServiceName, RetryCounts> Node::othersRepeats() const
+std::map<ServiceName, RetryCounts> Node::peerRetries() const
 {
     std::map<ServiceName, RetryCounts> result;
     const auto add = [&result](const std::map<ServiceName, RetryCounts> &counts) {
@@ -299,7 +299,7 @@
         return;
     parts_.gateway_.reservations().heard(digest.from_);
     addTransitTime(digest, now);
-    parts_.gateway_.takePoisonNews(digest.poison_);
+    parts_.gateway_.takePoisonUpdate(digest.poison_);
     parts_.gateway_.limits().take(digest.limits_, now);
     parts_.gateway_.notices().take(digest.cooldowns_, now);
     if (digest.relay_)
--- a/src/serving/peer_digests.cpp
+++ b/src/serving/peer_digests.cpp
@@ -132,15 +132,15 @@
     return relay;
 }
 
-json::object repeatsObject(const std::map<ServiceName, RetryCounts> &repeats)
+json::object retriesObject(const std::map<ServiceName, RetryCounts> &retries)
 {
     json::object result;
-    for (const auto &[service, counts] : repeats)
+    for (const auto &[service, counts] : retries)
         result[service.text()] = json::array{counts.requests_, counts.retries_};
     return result;
 }
 
-std::map<ServiceName, RetryCounts> repeatsIn(const json::value *value)
+std::map<ServiceName, RetryCounts> retriesIn(const json::value *value)
 {
     std::map<ServiceName, RetryCounts> result;
     const auto *object = value == nullptr ? nullptr : value->if_object();
@@ -151,10 +151,10 @@
         if (pair == nullptr || pair->size() != 2)
             continue;
         const auto requests = figureIn(pair->at(0));
-        const auto repeats = figureIn(pair->at(1));
+        const auto retries = figureIn(pair->at(1));
         const std::string name(member.key().data(), member.key().size());
-        if (requests && repeats)
-            result[ServiceName(name)] = {*requests, *repeats};
+        if (requests && retries)
+            result[ServiceName(name)] = {*requests, *retries};
     }
     return result;
 }
@@ -173,7 +173,7 @@
                         {"loads", loadsOf(digest)},
                         {"silent", namesOf(digest.silent_)},
                         {"demand", std::move(demand)},
-                        {"repeats", repeatsObject(digest.retries_)},
+                        {"repeats", retriesObject(digest.retries_)},
                         {"draining", digest.isDraining_},
                         {"endpoints", digest.endpoints_.value()}};
     if (!digest.poison_.isEmpty())
@@ -201,7 +201,7 @@
     digest.endpoints_ = RowVersion(numberIn(params, "endpoints"));
     readLoads(params.if_contains("loads"), digest);
     readDemand(params.if_contains("demand"), digest.demand_);
-    digest.retries_ = repeatsIn(params.if_contains("repeats"));
+    digest.retries_ = retriesIn(params.if_contains("repeats"));
     digest.silent_ = endpointsIn(params.if_contains("silent"));
     digest.poison_ = poisonIn(params.if_contains("poison"));
     digest.limits_ = limitsIn(params.if_contains("limits"));
--- a/src/serving/peer_info_json.cpp
+++ b/src/serving/peer_info_json.cpp
@@ -13,38 +13,38 @@
 namespace {
 
 /// An entry VM is encoded as name, address, zone and capacity.
-constexpr std::size_t seatFieldCount = 4;
+constexpr std::size_t peerInfoFieldCount = 4;
 
 } // namespace
 
-json::array peerInfoArray(std::span<const PeerInfo> seats)
+json::array peerInfoArray(std::span<const PeerInfo> infos)
 {
     json::array result;
-    for (const auto &seat : seats)
-        result.push_back(json::array{seat.entry_.text(), seat.address_.text(), seat.zone_.text(),
-                                     seat.capacity_});
+    for (const auto &info : infos)
+        result.push_back(json::array{info.entry_.text(), info.address_.text(), info.zone_.text(),
+                                     info.capacity_});
     return result;
 }
 
 std::vector<PeerInfo> peerInfosIn(const json::value *value)
 {
     std::vector<PeerInfo> result;
-    const auto *seats = value == nullptr ? nullptr : value->if_array();
-    if (seats == nullptr)
+    const auto *infos = value == nullptr ? nullptr : value->if_array();
+    if (infos == nullptr)
         return result;
-    for (const auto &one : *seats) {
-        const auto *seat = one.if_array();
+    for (const auto &one : *infos) {
+        const auto *info = one.if_array();
         const bool isWhole
-            = seat != nullptr && seat->size() == seatFieldCount && figureIn(seat->at(3))
-              && std::all_of(seat->begin(), seat->begin() + 3,
+            = info != nullptr && info->size() == peerInfoFieldCount && figureIn(info->at(3))
+              && std::all_of(info->begin(), info->begin() + 3,
                              [](const json::value &part) { return part.is_string(); });
         if (!isWhole)
             continue;
-        const auto address = config::addressOf(textOf(seat->at(1).get_string()));
+        const auto address = config::addressOf(textOf(info->at(1).get_string()));
         if (address)
-            result.push_back({EntryId(textOf(seat->at(0).get_string())), *address,
-                              AvailabilityZone(textOf(seat->at(2).get_string())),
-                              seat->at(3).to_number<double>()});
+            result.push_back({EntryId(textOf(info->at(0).get_string())), *address,
+                              AvailabilityZone(textOf(info->at(2).get_string())),
+                              info->at(3).to_number<double>()});
     }
     return result;
 }
--- a/src/serving/poison_pills.cpp
+++ b/src/serving/poison_pills.cpp
@@ -206,15 +206,15 @@
     return true;
 }
 
-void PoisonPills::take(const PoisonUpdate &news, TimePoint now)
+void PoisonPills::take(const PoisonUpdate &update, TimePoint now)
 {
-    for (const auto &[endpoint, requests] : news.crashes_) {
+    for (const auto &[endpoint, requests] : update.crashes_) {
         for (const auto &request : requests)
             recordCrash(endpoint, request, now);
     }
-    for (const auto &verdict : news.verdicts_)
+    for (const auto &verdict : update.verdicts_)
         applyVerdict(verdict, now);
-    for (const auto &request : news.cleared_)
+    for (const auto &request : update.cleared_)
         (void)clear(request, now, false);
 }
 
@@ -312,7 +312,7 @@
     return result;
 }
 
-PoisonUpdate PoisonPills::news(TimePoint now)
+PoisonUpdate PoisonPills::pendingUpdate(TimePoint now)
 {
     PoisonUpdate result;
     for (const auto &crash : ownCrashes_) {
--- a/src/serving/poison_updates.cpp
+++ b/src/serving/poison_updates.cpp
@@ -37,7 +37,7 @@
     return result;
 }
 
-void readCrashes(const json::value *value, PoisonUpdate &news)
+void readCrashes(const json::value *value, PoisonUpdate &update)
 {
     const auto *crashes = value == nullptr ? nullptr : value->if_object();
     if (crashes == nullptr)
@@ -46,7 +46,7 @@
         const auto *lists = member.value().if_array();
         if (lists == nullptr || lists->size() != 2)
             continue;
-        auto &requests = news.crashes_[EndpointIncarnation::parse(
+        auto &requests = update.crashes_[EndpointIncarnation::parse(
             std::string_view(member.key().data(), member.key().size()))];
         for (const auto &request : fingerprintsIn(&lists->at(0)))
             requests.push_back({request, false});
@@ -55,7 +55,7 @@
     }
 }
 
-void readVerdicts(const json::value *value, PoisonUpdate &news)
+void readVerdicts(const json::value *value, PoisonUpdate &update)
 {
     const auto *verdicts = value == nullptr ? nullptr : value->if_object();
     if (verdicts == nullptr)
@@ -67,23 +67,23 @@
         if (!request || !microseconds)
             continue;
         const auto longest = static_cast<std::uint64_t>(microsecondsOf(longestQuarantine));
-        news.verdicts_.push_back(
+        update.verdicts_.push_back(
             {*request, std::chrono::microseconds(std::min(*microseconds, longest))});
     }
 }
 
 } // namespace
 
-json::object poisonObject(const PoisonUpdate &news)
+json::object poisonObject(const PoisonUpdate &update)
 {
     json::object crashes;
-    for (const auto &[endpoint, requests] : news.crashes_)
+    for (const auto &[endpoint, requests] : update.crashes_)
         crashes[endpoint.text()] = requestLists(requests);
     json::object verdicts;
-    for (const auto &verdict : news.verdicts_)
+    for (const auto &verdict : update.verdicts_)
         verdicts[verdict.request_.text()] = microsecondsOf(verdict.left_);
     json::array cleared;
-    for (const auto &request : news.cleared_)
+    for (const auto &request : update.cleared_)
         cleared.emplace_back(request.text());
     return {{"crashes", std::move(crashes)},
             {"verdicts", std::move(verdicts)},
--- a/src/serving/poison_updates.hpp
+++ b/src/serving/poison_updates.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// \brief Converts PoisonNews to and from JSON, as used in digests and summaries.
+/// \brief Converts PoisonUpdate to and from JSON, as used in digests and summaries.
 #pragma once
 
 #include <cardamombay/serving/poison_pills.hpp>
@@ -8,10 +8,10 @@
 
 namespace cardamombay::serving::impl {
 
-[[nodiscard]] boost::json::object poisonObject(const PoisonUpdate &news);
+[[nodiscard]] boost::json::object poisonObject(const PoisonUpdate &update);
 
-/// \brief Parses PoisonNews and skips malformed parts; the next digest repeats them.
-/// \param value null if the digest contains no PoisonNews.
+/// \brief Parses PoisonUpdate and skips malformed parts; the next digest repeats them.
+/// \param value null if the digest contains no PoisonUpdate.
 [[nodiscard]] PoisonUpdate poisonIn(const boost::json::value *value);
 
 } // namespace cardamombay::serving::impl
--- a/tests/serving/endpoint_lives.cpp
+++ b/tests/serving/endpoint_lives.cpp
@@ -173,7 +173,7 @@
     fixture.addGroup("head-1");
     PoisonUpdate update;
     update.crashes_[{VmId("head-1"), 0}] = {{RequestFingerprint(7), true}};
-    fixture.gateway_.takePoisonNews(update);
+    fixture.gateway_.takePoisonUpdate(update);
     (void)fixture.ask("/stream/8");
     cr_assert(fixture.upstream_.calls_.empty());
     // The next incarnation is usable.
--- a/tests/serving/poison_pills.cpp
+++ b/tests/serving/poison_pills.cpp
@@ -33,9 +33,9 @@
 
 PoisonUpdate newsOf(const EndpointCrash &crash)
 {
-    PoisonUpdate news;
-    news.crashes_[crash.endpoint_] = crash.requests_;
-    return news;
+    PoisonUpdate update;
+    update.crashes_[crash.endpoint_] = crash.requests_;
+    return update;
 }
 
 } // namespace
@@ -114,9 +114,9 @@
     PoisonPills there;
     there.served(pill, start - seconds(5));
     crash(here, 1, 4, start);
-    const auto news = here.news(start);
-    there.take(news, start);
-    here.take(there.news(start), start);
+    const auto update = here.pendingUpdate(start);
+    there.take(update, start);
+    here.take(there.pendingUpdate(start), start);
     cr_assert_not(here.quarantinedFor(pill, start));
     cr_assert_not(there.quarantinedFor(pill, start));
     // The request was served long ago by now, and only later crashes count.
@@ -129,9 +129,9 @@
     PoisonPills here;
     PoisonPills there;
     crash(here, 1, 2, start);
-    there.take(here.news(start), start);
+    there.take(here.pendingUpdate(start), start);
     there.served(pill, start);
-    here.take(there.news(start), start);
+    here.take(there.pendingUpdate(start), start);
     crash(here, 3, 3, start);
     cr_assert_not(here.quarantinedFor(pill, start));
 }
@@ -140,9 +140,9 @@
 {
     PoisonPills pills;
     crash(pills, 1, 3, start);
-    cr_assert_eq(pills.news(start + milliseconds(500)).crashes_.size(), 3);
+    cr_assert_eq(pills.pendingUpdate(start + milliseconds(500)).crashes_.size(), 3);
     pills.expire(start + seconds(2));
-    const auto later = pills.news(start + seconds(2));
+    const auto later = pills.pendingUpdate(start + seconds(2));
     cr_assert(later.crashes_.empty());
     cr_assert_eq(later.verdicts_.size(), 1);
 }
@@ -154,9 +154,9 @@
         pills.restore(RequestFingerprint(request), start);
     std::set<RequestFingerprint> announced;
     for (int i = 0; i < 3; ++i) {
-        const auto news = pills.news(start);
-        cr_assert_leq(news.verdicts_.size(), 4);
-        for (const auto &verdict : news.verdicts_)
+        const auto update = pills.pendingUpdate(start);
+        cr_assert_leq(update.verdicts_.size(), 4);
+        for (const auto &verdict : update.verdicts_)
             announced.insert(verdict.request_);
     }
     cr_assert_eq(announced.size(), 11);
@@ -194,9 +194,9 @@
     const Duration way = milliseconds(200);
     auto now = start;
     for (; now < start + PoisonPills::firstQuarantine + seconds(1); now += way) {
-        const auto news = here.news(now);
-        there.take(news, now + way);
-        here.take(there.news(now), now + way);
+        const auto update = here.pendingUpdate(now);
+        there.take(update, now + way);
+        here.take(there.pendingUpdate(now), now + way);
         here.expire(now);
         there.expire(now);
     }
@@ -209,10 +209,10 @@
     PoisonPills here;
     PoisonPills cutOff;
     crash(here, 1, 3, start);
-    cutOff.take(here.news(start), start);
+    cutOff.take(here.pendingUpdate(start), start);
     here.lift(pill, start);
     cr_assert_not(here.quarantinedFor(pill, start));
-    here.take(cutOff.news(start + seconds(2)), start + seconds(2));
+    here.take(cutOff.pendingUpdate(start + seconds(2)), start + seconds(2));
     cr_assert_not(here.quarantinedFor(pill, start + seconds(2)));
 }
 
@@ -236,7 +236,7 @@
     LoadDigest digest;
     digest.from_ = EntryId("entry-1");
     digest.address_ = {"10.0.0.1", 7340};
-    digest.poison_ = pills.news(start);
+    digest.poison_ = pills.pendingUpdate(start);
     cr_assert_eq(digest.poison_.crashes_.size(), 4);
     cr_assert_eq(digest.poison_.cleared_.size(), 1);
     const auto read = decodeLoadDigest(encode(digest));
@@ -300,7 +300,8 @@
             for (auto &sender : fleet) {
                 sender.expire(now);
                 if (random.below(3) > 0)
-                    onTheWay.emplace_back(now + milliseconds(random.below(600)), sender.news(now));
+                    onTheWay.emplace_back(now + milliseconds(random.below(600)),
+                                          sender.pendingUpdate(now));
             }
             std::erase_if(onTheWay, [&](const auto &message) {
                 if (message.first > now)
--- a/tests/serving/quarantined_sessions.cpp
+++ b/tests/serving/quarantined_sessions.cpp
@@ -23,10 +23,10 @@
 /// Reports the crash of three endpoints during the request, as seen by other entry VMs.
 void quarantine(GatewayFixture &fixture)
 {
-    PoisonUpdate news;
+    PoisonUpdate update;
     for (int i = 0; i < 3; ++i)
-        news.crashes_[{VmId("gone-" + std::to_string(i)), 1}] = {{fingerprint(), false}};
-    fixture.gateway_.takePoisonNews(news);
+        update.crashes_[{VmId("gone-" + std::to_string(i)), 1}] = {{fingerprint(), false}};
+    fixture.gateway_.takePoisonUpdate(update);
 }
 
 } // namespace
@@ -139,9 +139,9 @@
         GatewayFixture fixture;
         for (int i = 0; i < 8; ++i)
             fixture.addGroup("head-" + std::to_string(i));
-        PoisonUpdate news;
-        news.crashes_[{VmId("gone"), 1}] = {{fingerprint(), false}};
-        fixture.gateway_.takePoisonNews(news);
+        PoisonUpdate update;
+        update.crashes_[{VmId("gone"), 1}] = {{fingerprint(), false}};
+        fixture.gateway_.takePoisonUpdate(update);
         // Each entry VM has a different load.
         for (int i = 0; i < entry; ++i)
             (void)fixture.ask("/stream/other-" + std::to_string(i));
--- a/tests/support/control_fleet.hpp
+++ b/tests/support/control_fleet.hpp
@@ -27,7 +27,7 @@
     std::uint32_t domainsPerZone_ = 2;
     std::uint32_t vmsPerDomain_ = 5;
     std::uint32_t concurrentLoads_ = 4; ///< Per fabric domain.
-    bool checksFencing_ = true;         ///< Engines reject outdated fencing numbers.
+    bool checksFencing_ = true;         ///< Engines reject outdated fencing tokens.
     std::string charts_ = "charts";     ///< Folder of the state charts.
 };
 
