--- a/src/serving/peer_info_json.hpp
+++ b/src/serving/peer_info_json.hpp
@@ -11,7 +11,7 @@
 
 namespace cardamombay::serving::impl {
 
-[[nodiscard]] boost::json::array peerInfoArray(std::span<const PeerInfo> seats);
+[[nodiscard]] boost::json::array peerInfoArray(std::span<const PeerInfo> infos);
 
 /// \brief Entries that cannot be read are left out.
 [[nodiscard]] std::vector<PeerInfo> peerInfosIn(const boost::json::value *value);
--- a/src/serving/planner_forming.cpp
+++ b/src/serving/planner_forming.cpp
@@ -221,7 +221,7 @@
             count(*group);
             std::erase(open, group);
             order(*group->head_, CloseOrder{group->group_, group->epoch_, false},
-                  "a group within one domain is possible");
+                  "a group in one domain is possible");
         }
     }
 }
--- a/src/serving/planner_reclaiming.cpp
+++ b/src/serving/planner_reclaiming.cpp
@@ -155,7 +155,7 @@
         groups_[group->model_] -= capacityOf(*group);
         if (group->state() == MemberState::Open && !input_.pending_.contains(group->head_->id_))
             order(*group->head_, CloseOrder{group->group_, group->epoch_, false},
-                  "its engines are needed to complete a larger group");
+                  "its engines complete a larger group");
     }
 }
 
--- a/src/serving/planner_run.cpp
+++ b/src/serving/planner_run.cpp
@@ -169,10 +169,9 @@
     const auto *model = modelNamed(group.model_);
     if (model == nullptr) {
         if (group.head_ != nullptr && group.state() == MemberState::Open)
-            order(*group.head_, CloseOrder{group.group_, group.epoch_, false},
-                  "model not configured");
+            order(*group.head_, CloseOrder{group.group_, group.epoch_, false}, "model not wanted");
         else if (group.head_ != nullptr && group.state() != MemberState::Closing)
-            dissolve(group, "model not configured");
+            dissolve(group, "model not wanted");
         return;
     }
     const bool isComplete = group.isComplete(model->members_) && !group.hasDrainingMember();
@@ -199,7 +198,7 @@
                 [this](const Endpoint *member) { return input_.pending_.contains(member->id_); }))
             groups_[model->name_] += 1;
         else
-            dissolve(group, "not all members joined");
+            dissolve(group, "not all members join");
         break;
     case MemberState::Broken:
         dissolve(group, "broken");
@@ -270,7 +269,7 @@
         return;
     }
     if (group.spansDomains() && fitsOneDomain(group, *modelNamed(group.model_))) {
-        dissolve(group, "a group within one domain is possible");
+        dissolve(group, "a group in one domain is possible");
         return;
     }
     groups_[group.model_] += capacityOf(group);
--- a/src/serving/replica_manager.cpp
+++ b/src/serving/replica_manager.cpp
@@ -317,7 +317,7 @@
     auto &unansweredQueries = unansweredQueries_[member];
     unansweredQueries.startedAt_ = bornAt;
     ++unansweredQueries.count_;
-    const auto problem = isRestarted ? "engine has restarted" : messageOf(errorOf(answer));
+    const auto problem = isRestarted ? "it has started again" : messageOf(errorOf(answer));
     log::info(event::engineSilent,
               {{"engine", member.text()},
                {"group", group.text()},
